--- a/include/jujubehead/core/routing/admission.hpp
+++ b/include/jujubehead/core/routing/admission.hpp
@@ -8,38 +8,39 @@
 
 namespace jujubehead::core {
 
-/// @brief Predicts the time to the first answer at a target from the requests
-/// there: what each of them has added of late, by the requests of one route.
+/// @brief Predicts the time to the first response at a target from the number
+/// of requests there: a moving average of the delay that each of them adds,
+/// learned from the requests of one route.
 class WaitPredictor
 {
 public:
-  /// @brief A request got its first answer.
-  /// @param aLoad requests at the target when it was sent.
+  /// @brief Records the time to a request's first response.
+  /// @param aLoad requests at the target when the request was sent.
   void OnFirstAnswer(double aLoad, Duration aTook);
-  /// @return the expected time; nothing before the first answer.
+  /// @return the expected time; nothing before the first response.
   [[nodiscard]] std::optional<Duration> At(double aLoad) const;
 
 private:
   std::optional<double> m_per_request; ///< In microseconds.
 };
 
-/// @brief What admission weighs of a request and the target chosen for it.
+/// @brief The input of the admission decision: a request and its target.
 struct AdmissionInput
 {
-  std::optional<Duration> predicted; ///< Time to its first answer there.
-  Duration objective{};              ///< For that time.
+  std::optional<Duration> predicted; ///< Time to the first response.
+  Duration objective{};              ///< For the time to the first response.
   std::uint32_t urgency = 5;         ///< 0 to 9, 0 is the most urgent.
-  double waiting = 0; ///< Requests that wait there without running.
+  double waiting = 0;                ///< Requests queued at the target.
 };
 
-/// @brief Decides whether a request is begun, or refused at once because it
-/// would be answered late and make all others late too.
+/// @brief Decides whether a request is admitted, or refused at once because it
+/// would be answered late and delay all others.
 ///
-/// The pattern: a part of the targets is lost, or a burst comes, and queues
-/// grow without end. Served in order, nearly all answers come late; refused
-/// early, the less urgent and largest first, those that are begun come in time,
-/// and the refused know at once when to come back. Nothing is refused where
-/// nothing waits.
+/// When targets fail or a burst arrives, queues grow without bound, and served
+/// in order nearly all responses come late (congestion collapse). With load
+/// shedding, the less urgent and largest requests first, admitted requests meet
+/// their objective, and refused callers learn at once when to retry. Nothing is
+/// refused while the target's queue is empty.
 [[nodiscard]] bool
 IsAdmitted(const AdmissionInput& aInput);
 
--- a/include/jujubehead/core/routing/attempt_plan.hpp
+++ b/include/jujubehead/core/routing/attempt_plan.hpp
@@ -5,49 +5,49 @@
 
 namespace jujubehead::core {
 
-/// @brief How one attempt at a target ended without an answer to pass on.
+/// @brief How one attempt at a target failed.
 enum class AttemptEnd : std::uint8_t
 {
-  kNotSent,  ///< Not a byte of it left: it has not run.
-  kRefused,  ///< The target said that it has not run, and will not.
-  kBroken,   ///< It was sent and no whole answer came: it may have run.
-  kFailed,   ///< It ran, and the target answered with a failure of its own.
-  kTimedOut, ///< The time was up while the target had it.
+  kNotSent,  ///< No byte was sent: the request has not run.
+  kRefused,  ///< The target refused it: the request has not run.
+  kBroken,   ///< Sent, but no complete response came: it may have run.
+  kFailed,   ///< It ran, and the target responded with an error.
+  kTimedOut, ///< The deadline passed after it was sent: it may have run.
 };
 
-/// @brief What to do after an attempt.
+/// @brief What to do after a failed attempt.
 enum class NextStep : std::uint8_t
 {
-  kSendAgain,    ///< At another target, if the budget allows.
-  kPassOn,       ///< Give the caller the target's failure.
-  kRefuse,       ///< Say that it has not run, and when to come back.
-  kFail,         ///< Say that it may have run.
-  kFailTimedOut, ///< The same, as the time was up.
+  kSendAgain,    ///< Retry at another target, if the retry budget allows.
+  kPassOn,       ///< Forward the target's error to the caller.
+  kRefuse,       ///< Respond that it has not run, and when to retry.
+  kFail,         ///< Respond that it may have run.
+  kFailTimedOut, ///< Respond that it timed out and may have run.
 };
 
-/// @brief What has happened to a request so far.
+/// @brief The attempts of a request so far.
 struct AttemptHistory
 {
   bool may_repeat = false;        ///< The request may run more than once.
   std::uint32_t may_have_run = 0; ///< Attempts after which it may have run.
   std::uint32_t sends = 0;        ///< Attempts that reached a target.
   std::uint32_t max_targets = 1;  ///< Targets that it may run on.
-  bool has_time = true;           ///< Another attempt could end in time.
+  bool has_time = true; ///< Another attempt can end before the deadline.
 };
 
-/// Attempts that targets refused do not count as runs, but each is an arrival:
-/// so many beyond the permitted runs settle where a few targets just fill up or
-/// leave, and more would only add load.
+/// Sends allowed beyond `max_targets`. Refused attempts do not count as runs,
+/// but each one loads a target: 2 more are enough when a few targets have just
+/// filled up or are draining, and a higher limit would only add load.
 inline constexpr std::uint32_t kExtraSends = 2;
 
-/// @brief Decides what follows an attempt. A request that may run once only is
-/// sent again only while it surely has not run; an answer that says "not run"
-/// is given only while that is true of all attempts.
+/// @brief Decides what follows a failed attempt. A request that may run only
+/// once is retried only while it certainly has not run; the response "not run"
+/// is given only if that holds for all attempts.
 NextStep
 AfterAttempt(AttemptEnd aEnd, const AttemptHistory& aHistory);
 
-/// @return what to do instead of sending again, when no target or no budget is
-/// left.
+/// @return what to do when a retry is not possible, for instance because no
+/// target or no budget is left.
 NextStep
 InsteadOfSending(AttemptEnd aEnd, const AttemptHistory& aHistory);
 
--- a/include/jujubehead/core/routing/load_estimate.hpp
+++ b/include/jujubehead/core/routing/load_estimate.hpp
@@ -10,7 +10,7 @@
 
 namespace jujubehead::core {
 
-/// @brief The load that a target told with an answer.
+/// @brief The load that a target reported with a response.
 struct ReportedLoad
 {
   std::uint32_t running = 0;
@@ -18,23 +18,24 @@
   std::uint32_t slots = 0;
 };
 
-/// @brief What targets of one service told of late, in the mean: a moving mean
-/// over answers of all of them.
+/// @brief Moving average of the load that the targets of one service reported
+/// with their responses.
 ///
-/// It fades to nothing when none of them tells anything for a while. Load is a
-/// reason to refuse, and who refuses everything gets no answer: without that an
-/// instance that once met full targets would refuse for ever.
+/// It decays to zero when no target of the service reports for a while. Load is
+/// a reason to refuse, and an instance that refuses everything gets no
+/// responses: without the decay, an instance that once met full targets would
+/// refuse requests forever.
 class UsualLoad
 {
 public:
   void OnReport(double aOthers, double aWaiting, Instant aNow);
   /// @brief A request of this instance ended.
   void OnEnded(Duration aLasted);
-  /// @return the age at which a report of one target halves in weight. It
-  /// follows how long requests last: a target's load stays as it was until they
-  /// end. One second before the first has ended.
+  /// @return the age at which the weight of a target's report has halved. It
+  /// follows the duration of requests, because a target's load does not change
+  /// until they end. One second before the first has ended.
   [[nodiscard]] Duration HalfLife() const;
-  /// @return requests of other instances at a target.
+  /// @return the mean number of other instances' requests at a target.
   [[nodiscard]] double Others(Instant aNow) const
   {
     return m_others * Weight(aNow);
@@ -45,57 +46,59 @@
   }
 
 private:
-  /// @return how much it still counts, 0 to 1.
+  /// @return the weight left after the time without reports, 0 to 1.
   [[nodiscard]] double Weight(Instant aNow) const;
 
-  std::optional<Instant> m_told; ///< By the last answer.
+  std::optional<Instant> m_reported_at; ///< The last report.
   double m_others = 0;
   double m_waiting = 0;
-  // Moving means, in seconds and their squares.
+  // Moving averages of the duration in seconds and of its square.
   double m_lasted = 0;
   double m_lasted_squared = 0;
 };
 
-/// @brief Estimates the requests at a target: those of this instance, which it
-/// counts itself, and those of others, from what the target last told.
+/// @brief Estimates the requests at a target: those of this instance, which are
+/// counted, and those of others, from the target's last report.
 ///
-/// What a target told is soon over. One of many instances hears of each target
-/// only every few seconds, so what it does not know of one it takes from what
-/// all of its service told; else a fleet that is full would look empty.
+/// Reports age quickly, and one of many instances gets a report of each target
+/// only every few seconds. The older a report, the more the service's average
+/// replaces it; else a fleet that is full would appear empty.
 class LoadEstimate
 {
 public:
   LoadEstimate() = default;
-  /// @param aUsual that of its service, which its reports are added to.
-  explicit LoadEstimate(std::shared_ptr<UsualLoad> aUsual)
-    : m_usual(std::move(aUsual))
+  /// @param aAverage of the target's service; reports are added to it.
+  explicit LoadEstimate(std::shared_ptr<UsualLoad> aAverage)
+    : m_average(std::move(aAverage))
   {
   }
 
   void OnBegin() { ++m_own; }
   void OnEnd(Duration aLasted);
-  /// @brief The target told its load, this instance's requests included.
+  /// @brief The target reported its load, this instance's requests included.
   void OnReport(const ReportedLoad& aLoad, Instant aNow);
-  /// @brief Another instance heard its load. It says nothing of what is usual,
-  /// as instances tell each other of the busiest.
-  void OnTold(const ReportedLoad& aLoad, Instant aHeard);
+  /// @brief Another instance passed on a report of the target. It is not added
+  /// to the average, as instances exchange reports of the busiest targets only.
+  void OnTold(const ReportedLoad& aLoad, Instant aReceivedAt);
 
   [[nodiscard]] std::uint32_t Own() const { return m_own; }
-  /// @return requests that wait there, by what it told of late.
+  /// @return the requests queued at the target.
   [[nodiscard]] double Waiting(Instant aNow) const;
   /// @return requests at the target, of all instances.
   [[nodiscard]] double Requests(Instant aNow) const;
 
 private:
-  void Take(const ReportedLoad& aLoad, Instant aHeard);
-  /// @return what the target told, or what is usual the older that is.
-  [[nodiscard]] double Faded(double aTold, double aUsual, Instant aNow) const;
+  void Record(const ReportedLoad& aLoad, Instant aReceivedAt);
+  /// @return the reported value, moved towards the average as it ages.
+  [[nodiscard]] double Decayed(double aReported,
+                               double aAverage,
+                               Instant aNow) const;
 
-  std::shared_ptr<UsualLoad> m_usual; ///< Null: nothing is usual.
+  std::shared_ptr<UsualLoad> m_average; ///< Null: taken as 0.
   std::uint32_t m_own = 0;
-  double m_others = 0;  ///< When the target last told.
-  double m_waiting = 0; ///< When the target last told.
-  std::optional<Instant> m_told;
+  double m_others = 0;  ///< By the target's last report.
+  double m_waiting = 0; ///< By the target's last report.
+  std::optional<Instant> m_reported_at;
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/routing/load_news.hpp
+++ b/include/jujubehead/core/routing/load_news.hpp
@@ -12,9 +12,9 @@
 
 namespace jujubehead::core {
 
-/// @brief Stands for a target in reports between instances: a hash of its id.
-/// Two targets with one key share their reports, which costs them a better
-/// choice.
+/// @brief Identifies a target in reports between instances by a hash of its
+/// id. Two targets whose hashes collide share their reports, which only makes
+/// placement less accurate for them.
 enum class TargetKey : std::uint32_t
 {
 };
@@ -22,41 +22,41 @@
 TargetKey
 KeyOf(const TargetId& aTarget);
 
-/// @brief What some instance learned of a target: the load that it reported, or
-/// that it is gone.
+/// @brief A report on a target that some instance received: its load, or that
+/// it is gone.
 struct HeardLoad
 {
   TargetKey target{};
   ReportedLoad load;
-  Instant heard{}; ///< At the latest.
-  /// Nothing listens at its address any more, or another target does. One that
-  /// merely does not answer is not gone: the path to it may be cut, for the
+  Instant heard{}; ///< Latest time at which it can have been received.
+  /// Nothing listens at its address any more, or another target does. A target
+  /// that does not respond is not gone: the network path may be broken for the
   /// reporting instance only.
   bool is_gone = false;
 };
 
-/// @return the report of a target that is gone. It ranks before all loads.
+/// @return a report that a target is gone. It ranks above all loads.
 HeardLoad
 GoneTarget(const TargetId& aTarget, Instant aNow);
 
-/// @brief Bounds of what instances tell each other of targets' loads.
+/// @brief Limits of the load reports that instances exchange.
 struct LoadNewsOptions
 {
-  /// An older word says little: requests last about a second.
-  Duration longest_age = std::chrono::milliseconds(1500);
-  /// Targets in one message: eight bytes each, four messages a second, so that
-  /// they stay within 8 KB a second however many targets there are.
-  std::size_t most = 224;
+  /// Older reports are obsolete, as requests last about a second.
+  Duration max_age = std::chrono::milliseconds(1500);
+  /// In one message. At eight bytes each and four messages a second this stays
+  /// within 8 KB a second however many targets there are.
+  std::size_t max_reports = 224;
 };
 
-/// @brief The newest word on each target's load, from whichever instance heard
-/// it.
+/// @brief The newest load report of each target, from whichever instance
+/// received it.
 ///
-/// With many instances each one hears of a target every few seconds only, and
-/// sends prompts to homes that are full, or to targets that crashed, one failed
-/// request of each instance for each of them (retry storm). Told are the
-/// busiest targets: those are the ones to keep away from, and who is not among
-/// them has room.
+/// With many instances, each one gets a report of a target only every few
+/// seconds. Without exchange it would send prompts to full targets, and each
+/// instance would lose a request on each crashed target (retry storm). Only the
+/// busiest targets are exchanged, as these are to be avoided; the others have
+/// free slots.
 class LoadNews
 {
 public:
@@ -65,12 +65,12 @@
   {
   }
 
-  /// @brief Keeps a word if it is newer than what is known of its target.
+  /// @brief Keeps a report if it is the newest of its target.
   void Put(const HeardLoad& aLoad);
-  /// @return the busiest targets, by requests for each of their places, and
-  /// forgets what is too old.
+  /// @return the busiest targets, by requests per slot. Drops reports older
+  /// than `max_age`.
   [[nodiscard]] std::vector<HeardLoad> Busiest(Instant aNow);
-  /// @return as Busiest(), and forgets all.
+  /// @return as Busiest(). Drops all reports.
   [[nodiscard]] std::vector<HeardLoad> TakeBusiest(Instant aNow);
 
 private:
--- a/include/jujubehead/core/routing/patience.hpp
+++ b/include/jujubehead/core/routing/patience.hpp
@@ -7,25 +7,25 @@
 
 namespace jujubehead::core {
 
-/// @brief What a target's silence is judged by.
+/// @brief The input of the silence timeout.
 struct SilenceInput
 {
   Duration objective{}; ///< Of the request's route, to the first event.
-  /// Time to the first event at such a load, by what was seen of late.
+  /// Time to the first event at the target's load, by recent requests.
   std::optional<Duration> predicted;
-  /// Streams of this instance run there, besides this one: a target that works
-  /// speaks on them many times a second.
+  /// Other streams of this instance run at the target. A working target sends
+  /// events on them many times a second.
   bool others_stream = false;
 };
 
-/// @return how long a target may say nothing on a stream, nor on any other of
-/// this instance, before it is taken for dead.
+/// @return how long a target may send nothing on any stream of this instance
+/// before it is considered dead.
 ///
-/// While other streams run there, silence means something after a second or so.
-/// An instance that is one of many rarely has two streams at a target; then the
-/// wait in a loaded target's queue looks just like death, and giving up early
-/// throws away the work and the place in the queue. So it waits for what is
-/// usual at such a load, and more.
+/// While other streams run at the target, about a second of silence is enough.
+/// One of many instances rarely has two streams at a target; then queueing at a
+/// loaded target cannot be distinguished from a crash, and an early timeout
+/// loses the work done and the place in the queue. The timeout then covers the
+/// predicted time at such a load with a margin.
 Duration
 StreamPatience(const SilenceInput& aInput);
 
--- a/include/jujubehead/core/routing/placement.hpp
+++ b/include/jujubehead/core/routing/placement.hpp
@@ -9,61 +9,64 @@
 
 namespace jujubehead::core {
 
-/// @brief What placement weighs of one target.
+/// @brief A target as placement sees it.
 struct PlacementCandidate
 {
   std::uint64_t name_hash = 0; ///< Of the target's id; see PlacementHash().
-  double load = 0;             ///< Requests there, of all instances.
-  double capacity = 1;         ///< Against the other candidates.
+  double load = 0;             ///< Requests in progress, of all instances.
+  double capacity = 1;         ///< Relative to the other candidates.
   bool is_near = false;        ///< In this instance's data centre.
-  /// In the data centre of the store that has the prompt.
+  /// In the data centre of the store that holds the prompt's KV cache.
   bool is_at_store = false;
 };
 
-/// @brief How far placement goes for a prompt's home.
+/// @brief Load bounds and locality weights of placement.
 struct PlacementOptions
 {
-  /// A prompt leaves its home when the home has more than this many times the
-  /// mean load, and `bound_extra` requests: what the home has cached is then
-  /// recomputed elsewhere, which costs more than a short wait.
+  /// A target accepts prompts up to this many times the mean load plus
+  /// `bound_extra` requests. Beyond that a prompt goes to another target, which
+  /// has to recompute the cached prefix; that costs more than a short wait.
   double bound = 1.5;
   double bound_extra = 2;
-  /// Load that a target in another data centre counts more: the way there
-  /// costs little beside a request's time, so it only settles near ties.
+  /// Load added to a target in another data centre. The network delay is small
+  /// compared to a request's duration, so this only decides near ties.
   double far_penalty = 0.5;
 };
 
-/// @return the hash of a name, the same in every instance.
+/// @return the hash of a name; all instances compute the same value.
 std::uint64_t
 PlacementHash(std::string_view aName);
 
-/// @brief Places a prompt: the first in the order of rendezvous hashing whose
-/// load is within the bound, so that a prompt returns to where it was read
-/// before, and load still spreads. Targets near the store that has it go before
-/// all others. Needs no message between instances and survives restarts.
-/// @param aPrompt the hash of the prompt's part that returns.
+/// @brief Places a prompt by rendezvous hashing with bounded loads: it picks
+/// the highest-scoring target whose load is within the bound, so that a
+/// repeated prompt reaches the target that has its prefix cached, and load
+/// still spreads. Targets near the store that holds the prompt come first.
+/// Needs no messages between instances and gives the same result after a
+/// restart.
+/// @param aPrompt the hash of the prompt's reusable prefix.
 /// @return the index of the target; nothing when there is no candidate.
 std::optional<std::size_t>
 PlacePrompt(std::uint64_t aPrompt,
             std::span<const PlacementCandidate> aCandidates,
             const PlacementOptions& aOptions = {});
 
-/// @brief Places a request that no target serves better than others: the least
-/// load for its capacity, the near one among equals.
-/// @param aSalt settles ties, so that instances do not all pick the same.
+/// @brief Places a request without cache affinity at the target with the least
+/// load relative to its capacity, preferring this data centre among equals.
+/// @param aSalt breaks ties, so that instances do not all pick the same target.
 std::optional<std::size_t>
 PlaceCall(std::uint64_t aSalt,
           std::span<const PlacementCandidate> aCandidates,
           const PlacementOptions& aOptions = {});
 
-/// @return the index of a key's home among members with capacities; nothing
-/// when there is none. Members that come or go move only their own keys.
+/// @return the index of the member that a key is assigned to, in proportion to
+/// the capacities; nothing when there is none. A member that joins or leaves
+/// moves only its own keys.
 std::optional<std::size_t>
 WeightedHome(std::uint64_t aKey,
              std::span<const PlacementCandidate> aCandidates);
 
 /// @return the score of a member for a key in weighted rendezvous hashing; the
-/// member with the highest one is the key's home.
+/// key is assigned to the member with the highest score.
 double
 WeightedScore(std::uint64_t aKey, std::uint64_t aNameHash, double aCapacity);
 
--- a/include/jujubehead/core/routing/target_book.hpp
+++ b/include/jujubehead/core/routing/target_book.hpp
@@ -13,7 +13,7 @@
 
 namespace jujubehead::core {
 
-/// @brief A model that a target holds, and the version of its weights.
+/// @brief A model that a target has loaded, and the version of its weights.
 struct LoadedModel
 {
   ModelId model;
@@ -22,25 +22,25 @@
   friend bool operator==(const LoadedModel&, const LoadedModel&) = default;
 };
 
-/// @brief A target, as it registered itself.
+/// @brief A target as it registered itself.
 struct RegisteredTarget
 {
-  TargetId id; ///< Of one start of the target, as a rule.
+  TargetId id; ///< Usually different for each start of the target.
   ServiceId service;
   std::string address; ///< `ip:port`.
   DataCentreId data_centre;
-  std::uint32_t slots = 0; ///< Requests that it runs at once.
-  bool leaving = false;    ///< Takes no new work.
+  std::uint32_t slots = 0; ///< Requests that it runs concurrently.
+  bool leaving = false;    ///< Draining: takes no new requests.
   std::vector<LoadedModel> models;
-  std::uint64_t born_ms = 0;   ///< Start, by its clock, since the epoch.
-  std::uint64_t heartbeat = 0; ///< Number of its report since its start.
+  std::uint64_t born_ms = 0;   ///< Start time since the epoch, by its clock.
+  std::uint64_t heartbeat = 0; ///< Sequence number of its report since start.
 
   /// @return the version of a model's weights; nothing when it has none.
   [[nodiscard]] std::optional<std::uint64_t> VersionOf(
     const ModelId& aModel) const;
 };
 
-/// @brief What is known of one registration.
+/// @brief An update of one registration.
 struct RegistrationChange
 {
   TargetId id;
@@ -48,23 +48,23 @@
   std::optional<RegisteredTarget> target;
 };
 
-/// @brief How long to believe in what may be out of date.
+/// @brief How long possibly outdated registrations are kept.
 struct TargetBookOptions
 {
-  /// After the registry was away, registrations that lapsed meanwhile come
-  /// back within about 2 s; the rest is for the delay of the answers.
-  Duration return_time = std::chrono::milliseconds(2200);
-  /// For how long a late report of a target that is gone is told from a new
-  /// one; longer than calls to the registry can be under way.
-  Duration memory_time = std::chrono::seconds(60);
+  /// After a registry outage, targets whose registration expired meanwhile
+  /// register again within about 2 s; the rest is for the delay of responses.
+  Duration reregistration_time = std::chrono::milliseconds(2200);
+  /// How long removed targets are remembered to recognise late reports of them;
+  /// longer than a call to the registry can take.
+  Duration removed_retention = std::chrono::seconds(60);
 };
 
-/// @brief The targets that are registered, over outages of the registry.
+/// @brief The registered targets, kept across outages of the registry.
 ///
-/// Registrations that vanish while the registry is away, or just after, are
-/// believed to be alive until `return_time` after it came back. A registration
-/// that vanishes while the registry is well is gone at once. A target that said
-/// once that it leaves stays leaving until it starts anew.
+/// Registrations that disappear during a registry outage, or just after it, are
+/// kept until `reregistration_time` after its end. A registration that
+/// disappears while the registry is available is removed at once. A target that
+/// once reported that it is draining stays so until it restarts.
 ///
 /// @code
 /// TargetBook book({});
@@ -79,45 +79,45 @@
 
   /// @brief The registry answered a read.
   void OnAnswer(Instant aNow);
-  /// @brief A read got no answer: the registry may let go of targets that are
-  /// alive.
-  void OnSilence() { m_is_away = true; }
+  /// @brief A read got no response: the registrations of running targets may
+  /// expire.
+  void OnSilence() { m_is_unavailable = true; }
   /// @brief Applies changes in the order in which the registry made them.
-  /// Reports older than what is known are passed over.
-  /// @return whether what Targets() returns has changed.
+  /// Reports older than the known ones are ignored.
+  /// @return whether the result of Targets() has changed.
   bool Apply(const std::vector<RegistrationChange>& aChanges, Instant aNow);
-  /// @brief Replaces all that is known by the whole registry as of one moment.
+  /// @brief Replaces all registrations by a snapshot of the registry.
   bool Replace(const std::vector<RegisteredTarget>& aAll, Instant aNow);
-  /// @brief Drops what was believed alive and did not come back in time.
-  /// @return whether what Targets() returns has changed.
+  /// @brief Removes expired registrations that were not renewed in time.
+  /// @return whether the result of Targets() has changed.
   bool Tick(Instant aNow);
 
   [[nodiscard]] std::vector<RegisteredTarget> Targets() const;
-  /// @return the number of targets whose registration has lapsed.
+  /// @return the number of targets whose registration has expired.
   [[nodiscard]] std::size_t Lapsed() const;
 
 private:
   struct Entry
   {
     RegisteredTarget target;
-    std::optional<Instant> lapsed_until;
+    std::optional<Instant> kept_until; ///< Set once the registration expired.
   };
-  struct Gone
+  struct Removed
   {
-    RegisteredTarget target; ///< As it was last known.
+    RegisteredTarget target; ///< Its last known state.
     Instant since;
   };
 
   bool Put(RegisteredTarget aTarget);
   [[nodiscard]] bool IsLateReport(const RegisteredTarget& aTarget) const;
   bool Remove(const TargetId& aId, Instant aNow);
-  [[nodiscard]] bool IsReturning(Instant aNow) const;
+  [[nodiscard]] bool IsReregistering(Instant aNow) const;
 
   TargetBookOptions m_options;
   std::map<TargetId, Entry> m_entries;
-  std::map<TargetId, Gone> m_gone;
-  bool m_is_away = false;
-  std::optional<Instant> m_returned; ///< After its last absence.
+  std::map<TargetId, Removed> m_removed;
+  bool m_is_unavailable = false;
+  std::optional<Instant> m_outage_end; ///< Of the registry's last outage.
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/routing/target_health.hpp
+++ b/include/jujubehead/core/routing/target_health.hpp
@@ -7,53 +7,52 @@
 
 namespace jujubehead::core {
 
-/// @brief How one instance believes or doubts a target, on what its own
-/// requests met there.
+/// @brief Parameters of one instance's circuit breaker for a target.
 struct TargetHealthOptions
 {
-  /// First time out after a target could not be reached. A process that ended
-  /// is back after seconds; asking once a half second costs one connection.
-  Duration first_out = std::chrono::milliseconds(500);
-  /// Longest time out: what a target that came back loses at most.
-  Duration longest_out = std::chrono::seconds(4);
-  /// Failures among the last answers from which a target is taken out. Usual
-  /// services fail one request in seven by themselves, so a half is evidence.
-  double failing_share = 0.5;
-  /// How much one answer weighs in the moving share of failures.
-  double share_weight = 0.15;
+  /// First ejection after a target could not be reached. A process that ended
+  /// is back after seconds; a probe each half second costs one connection.
+  Duration first_ejection = std::chrono::milliseconds(500);
+  /// Bound on how long a target that has recovered stays without requests.
+  Duration max_ejection = std::chrono::seconds(4);
+  /// Failure rate from which a target is ejected. Healthy services fail up to
+  /// one request in seven, so a half shows a fault of the target.
+  double max_failure_rate = 0.5;
+  /// Weight of one response in the moving average of the failure rate.
+  double response_weight = 0.15;
 };
 
-/// @brief Takes a target out after it could not be reached or answered wrongly,
-/// lets one request try again after a while, and lets it back in when that
-/// request went well.
+/// @brief A circuit breaker: ejects a target that could not be reached or that
+/// fails too many requests, then sends one request as a probe, and admits the
+/// target again when the probe succeeds.
 class TargetHealth
 {
 public:
   explicit TargetHealth(TargetHealthOptions aOptions = {});
 
-  /// @brief The target answered a request as it should.
+  /// @brief A request succeeded.
   void OnAnswer();
-  /// @brief A request got a wrong answer, or none though it was connected.
+  /// @brief A request got an error, or no response although it was connected.
   void OnFailure(Instant aNow);
   /// @brief The target could not be reached at all.
   void OnUnreachable(Instant aNow);
 
-  /// @return the moving share of failures among the answers.
-  [[nodiscard]] double FailingShare() const { return m_failing; }
-  /// @return whether requests may go there now.
+  /// @return the moving average of the failure rate, 0 to 1.
+  [[nodiscard]] double FailingShare() const { return m_failure_rate; }
+  /// @return whether requests may be sent to the target.
   [[nodiscard]] bool IsUsable(Instant aNow) const;
-  /// @brief A request is about to go there. While the target is on trial, this
-  /// keeps others away until the trial is over.
+  /// @brief A request is about to be sent. If it is the probe of an ejected
+  /// target, no other request is sent until it ends or its time is over.
   void OnSend(Instant aNow);
 
 private:
-  void TakeOut(Instant aNow);
+  void Eject(Instant aNow);
 
   TargetHealthOptions m_options;
-  double m_failing = 0;
-  std::uint32_t m_times_out = 0; ///< In a row.
-  Instant m_out_until{};
-  bool m_on_trial = false;
+  double m_failure_rate = 0;
+  std::uint32_t m_ejections = 0; ///< Consecutive.
+  Instant m_ejected_until{};
+  bool m_is_probing = false;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/routing/admission.cpp
+++ b/src/jujubehead/core/routing/admission.cpp
@@ -5,18 +5,18 @@
 namespace jujubehead::core {
 namespace {
 
-/// Weight of one answer in the moving mean: some ten answers, about a second of
-/// one instance's traffic on a route.
-constexpr double kAnswerWeight = 0.1;
-/// A request is begun while its predicted time is within this many times its
-/// objective: the most urgent longest, each step of urgency less. The queue
-/// settles where the least urgent that still get in are refused, so their limit
-/// is what all others' time becomes: it is below the objective.
-constexpr double kMostUrgentTimes = 1.3;
-constexpr double kTimesAStep = 0.25;
-constexpr double kLeastTimes = 0.5;
-/// Requests that wait at a target when it is loaded, and not just busy.
-constexpr double kQueue = 1.0;
+/// Weight of one response in the moving average, which so covers about ten
+/// responses: a second of one instance's traffic on a route.
+constexpr double kResponseWeight = 0.1;
+/// A request is admitted while its predicted time is within a multiple of its
+/// objective that falls with each step of urgency. Queues settle at the length
+/// at which the least urgent requests are refused, so the lowest multiple
+/// determines the time of all others; it is therefore below 1.
+constexpr double kMostUrgentMultiple = 1.3;
+constexpr double kMultiplePerStep = 0.25;
+constexpr double kMinMultiple = 0.5;
+/// Queued requests from which a target counts as overloaded, not just busy.
+constexpr double kOverloadQueue = 1.0;
 
 } // namespace
 
@@ -24,9 +24,9 @@
 WaitPredictor::OnFirstAnswer(double aLoad, Duration aTook)
 {
   const double sample = static_cast<double>(aTook.count()) / (aLoad + 1);
-  m_per_request = m_per_request
-                    ? *m_per_request + kAnswerWeight * (sample - *m_per_request)
-                    : sample;
+  m_per_request =
+    m_per_request ? *m_per_request + kResponseWeight * (sample - *m_per_request)
+                  : sample;
 }
 
 std::optional<Duration>
@@ -41,13 +41,13 @@
 bool
 IsAdmitted(const AdmissionInput& aInput)
 {
-  if (!aInput.predicted || aInput.waiting < kQueue) {
+  if (!aInput.predicted || aInput.waiting < kOverloadQueue) {
     return true;
   }
-  const double times =
-    std::max(kLeastTimes, kMostUrgentTimes - kTimesAStep * aInput.urgency);
+  const double multiple = std::max(
+    kMinMultiple, kMostUrgentMultiple - kMultiplePerStep * aInput.urgency);
   return static_cast<double>(aInput.predicted->count()) <=
-         times * static_cast<double>(aInput.objective.count());
+         multiple * static_cast<double>(aInput.objective.count());
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/routing/admission_test.cpp
+++ b/src/jujubehead/core/routing/admission_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_GROUP(Admission){};
 
-TEST(Admission, TheMostUrgentIsBegunLongest)
+TEST(Admission, MoreUrgentRequestsAreAdmittedAtLongerWaits)
 {
   CHECK(IsAdmitted(Input(1200, 0)));
   CHECK_FALSE(IsAdmitted(Input(1200, 1)));
@@ -31,21 +31,21 @@
   CHECK_FALSE(IsAdmitted(Input(600, 9)));
 }
 
-TEST(Admission, NothingIsRefusedWhereNothingWaits)
+TEST(Admission, NothingIsRefusedWhileTheQueueIsEmpty)
 {
   AdmissionInput input = Input(90000, 9);
   input.waiting = 0;
   CHECK(IsAdmitted(input));
 }
 
-TEST(Admission, NothingIsRefusedBeforeAnythingIsKnown)
+TEST(Admission, NothingIsRefusedWithoutAPrediction)
 {
   AdmissionInput input = Input(0, 9);
   input.predicted.reset();
   CHECK(IsAdmitted(input));
 }
 
-TEST(Admission, APredictionFollowsWhatRequestsMet)
+TEST(Admission, ThePredictionFollowsMeasuredTimes)
 {
   WaitPredictor predictor;
   CHECK_FALSE(predictor.At(3).has_value());
@@ -57,13 +57,13 @@
   CHECK(*predictor.At(9) < milliseconds(210));
 }
 
-// Targets serve a fixed number a second and lose a quarter of it for a while.
-// Served in order all come late; with admission most that are begun are in
-// time.
-TEST(Admission, LosingAQuarterOfTheTargetsLeavesMostAnswersInTime)
+// Arrivals exceed the rate of the targets after a quarter of them is lost. In
+// order of arrival nearly all responses are late; with admission control most
+// admitted requests meet the objective.
+TEST(Admission, MostResponsesAreInTimeAfterLosingAQuarterOfTheTargets)
 {
-  constexpr int kArrivals = 100; // A second.
-  constexpr double kRate = 80;   // Answers a second.
+  constexpr int kArrivals = 100; // Per second.
+  constexpr double kRate = 80;   // Responses per second.
   constexpr double kObjective = 1.0;
   const auto in_time = [&](bool aWithAdmission) {
     WaitPredictor predictor;
--- a/src/jujubehead/core/routing/attempt_plan_test.cpp
+++ b/src/jujubehead/core/routing/attempt_plan_test.cpp
@@ -53,7 +53,7 @@
   }));
 }
 
-TEST(AttemptPlan, ABrokenRequestThatMayRunOnceFails)
+TEST(AttemptPlan, AnIncompleteNonRepeatableRequestFails)
 {
   AttemptHistory history;
   history.sends = 1;
@@ -64,7 +64,7 @@
         NextStep::kFailTimedOut);
 }
 
-TEST(AttemptPlan, ARefusedRequestGoesOnAndIsRefusedTruly)
+TEST(AttemptPlan, ARefusedRequestIsRetriedOrRefusedAsNotRun)
 {
   AttemptHistory history;
   history.sends = 1;
@@ -72,7 +72,7 @@
   CHECK(InsteadOfSending(AttemptEnd::kRefused, history) == NextStep::kRefuse);
 }
 
-TEST(AttemptPlan, WithoutTimeNothingIsSentAgain)
+TEST(AttemptPlan, NothingIsRetriedAfterTheDeadline)
 {
   AttemptHistory history;
   history.may_repeat = true;
@@ -80,7 +80,7 @@
   CHECK(AfterAttempt(AttemptEnd::kNotSent, history) == NextStep::kRefuse);
 }
 
-TEST(AttemptPlan, ATargetsOwnFailureIsPassedOn)
+TEST(AttemptPlan, ATargetsErrorIsForwarded)
 {
   AttemptHistory history;
   history.may_have_run = 1;
--- a/src/jujubehead/core/routing/load_estimate_test.cpp
+++ b/src/jujubehead/core/routing/load_estimate_test.cpp
@@ -8,26 +8,23 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Seen: after a roll-out of weights on few targets under a burst, all targets
-// were loaded and empty, and for ten seconds every request was refused ("it
-// would be late", 12 waiting), until the end.
-//
-// Cause: what is usual at a service's targets was learned from answers and had
-// no age. Who refuses everything gets no answers, so the belief that made it
-// refuse could never change: the same class as old weights' time, a belief that
-// outlives what it was learned from.
+// The service's load average was learned from responses and did not decay. An
+// instance that refused every request got no responses, so the average that
+// caused the refusals never changed: after a roll-out of weights on few targets
+// during a burst, idle targets with the weights loaded got no requests for ten
+// seconds (12 waiting by the average).
 
 TEST_GROUP(UsualLoad)
 {
-  std::shared_ptr<UsualLoad> usual = std::make_shared<UsualLoad>();
-  LoadEstimate told{ usual };
-  LoadEstimate other{ usual };
+  std::shared_ptr<UsualLoad> average = std::make_shared<UsualLoad>();
+  LoadEstimate reported{ average };
+  LoadEstimate other{ average };
   Instant now{ seconds(100) };
 
-  void TellFull()
+  void ReportFull()
   {
     for (int i = 0; i < 100; ++i) {
-      told.OnReport({ 8, 12, 8 }, now);
+      reported.OnReport({ 8, 12, 8 }, now);
     }
   }
   bool Admits(Instant aWhen) const
@@ -40,27 +37,27 @@
   }
 };
 
-TEST(UsualLoad, WhatIsUsualStandsForATargetThatToldNothing)
+TEST(UsualLoad, TheAverageIsUsedForATargetWithoutReports)
 {
-  TellFull();
+  ReportFull();
   DOUBLES_EQUAL(20, other.Requests(now), 0.5);
   DOUBLES_EQUAL(12, other.Waiting(now), 0.5);
   CHECK_FALSE(Admits(now));
 }
 
-TEST(UsualLoad, AShortSilenceOfAllChangesNothing)
+TEST(UsualLoad, AShortTimeWithoutReportsChangesNothing)
 {
-  TellFull();
+  ReportFull();
   DOUBLES_EQUAL(12, other.Waiting(now + milliseconds(900)), 0.5);
 }
 
-TEST(UsualLoad, RefusalsEndWhenNothingWasToldForSomeSeconds)
+TEST(UsualLoad, RefusalsEndAfterSomeSecondsWithoutReports)
 {
-  TellFull();
+  ReportFull();
   CHECK_FALSE(Admits(now + seconds(1)));
   CHECK(Admits(now + seconds(4)));
-  DOUBLES_EQUAL(0, told.Waiting(now + seconds(10)), 0.5);
-  // The first answer tells how it is.
-  told.OnReport({ 8, 12, 8 }, now + seconds(10));
+  DOUBLES_EQUAL(0, reported.Waiting(now + seconds(10)), 0.5);
+  // The first report sets the average again.
+  reported.OnReport({ 8, 12, 8 }, now + seconds(10));
   CHECK_FALSE(Admits(now + seconds(10)));
 }
--- a/src/jujubehead/core/routing/load_news.cpp
+++ b/src/jujubehead/core/routing/load_news.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 double
-PressureOf(const ReportedLoad& aLoad)
+RequestsPerSlot(const ReportedLoad& aLoad)
 {
   const double requests = static_cast<double>(aLoad.running) + aLoad.waiting;
   return requests / std::max(aLoad.slots, 1U);
 }
 
-/// More than any target has, for each of its places.
+/// More requests per slot than any target has.
 constexpr ReportedLoad kLoadOfGone{ 64, 64, 1 };
 
 } // namespace
@@ -45,7 +45,7 @@
 LoadNews::Busiest(Instant aNow)
 {
   std::erase_if(m_loads, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heard > m_options.longest_age;
+    return aNow - aEntry.second.heard > m_options.max_age;
   });
   std::vector<HeardLoad> busiest;
   busiest.reserve(m_loads.size());
@@ -55,10 +55,10 @@
   std::sort(busiest.begin(),
             busiest.end(),
             [](const HeardLoad& aOne, const HeardLoad& aOther) {
-              return PressureOf(aOne.load) > PressureOf(aOther.load);
+              return RequestsPerSlot(aOne.load) > RequestsPerSlot(aOther.load);
             });
-  if (busiest.size() > m_options.most) {
-    busiest.resize(m_options.most);
+  if (busiest.size() > m_options.max_reports) {
+    busiest.resize(m_options.max_reports);
   }
   return busiest;
 }
--- a/src/jujubehead/core/routing/load_news_test.cpp
+++ b/src/jujubehead/core/routing/load_news_test.cpp
@@ -17,17 +17,17 @@
 const Instant kNow = Instant(std::chrono::hours(1));
 
 HeardLoad
-Heard(const std::string& aTarget, std::uint32_t aWaiting, Instant aHeard)
+ReportOf(const std::string& aTarget, std::uint32_t aWaiting, Instant aWhen)
 {
-  return { KeyOf(TargetId(aTarget)), { 12, aWaiting, 12 }, aHeard };
+  return { KeyOf(TargetId(aTarget)), { 12, aWaiting, 12 }, aWhen };
 }
 
-/// 74 instances place prompts at 140 targets, whose requests last a second;
-/// each hears a target's load only with its own answers, and, when told, from
-/// one hub in four questions a second.
-/// @return the mean over time of requests above a target's twelve places.
+/// 74 instances place prompts at 140 targets, where requests last a second.
+/// Each instance gets load reports with its own responses and, with exchange,
+/// from one hub that it polls four times a second.
+/// @return the mean over time of the requests beyond the targets' 12 slots.
 double
-OverfullPlaces(bool aIsTold)
+MeanOverload(bool aIsExchanged)
 {
   constexpr std::size_t kInstances = 74;
   constexpr std::size_t kTargets = 140;
@@ -35,11 +35,11 @@
   constexpr std::size_t kStepMs = 50;
   constexpr std::size_t kLastsSteps = 20;
   constexpr std::size_t kRequestsInStep = 62;
-  constexpr std::size_t kAskSteps = 5;
+  constexpr std::size_t kPollSteps = 5;
   std::mt19937 random(3);
-  const auto usual = std::make_shared<UsualLoad>();
+  const auto average = std::make_shared<UsualLoad>();
   std::vector<std::vector<LoadEstimate>> estimates(
-    kInstances, std::vector<LoadEstimate>(kTargets, LoadEstimate(usual)));
+    kInstances, std::vector<LoadEstimate>(kTargets, LoadEstimate(average)));
   std::vector<std::uint64_t> names;
   for (std::size_t t = 0; t < kTargets; ++t) {
     names.push_back(PlacementHash("t" + std::to_string(t)));
@@ -54,13 +54,13 @@
     for (const auto& [instance, target] : ends[step]) {
       estimates[instance][target].OnEnd(milliseconds(kStepMs * kLastsSteps));
       --load[target];
-      const ReportedLoad told{ std::min(load[target], 12U),
-                               load[target] > 12 ? load[target] - 12 : 0,
-                               12 };
-      estimates[instance][target].OnReport(told, now);
-      hub.Put({ static_cast<TargetKey>(target), told, now });
+      const ReportedLoad report{ std::min(load[target], 12U),
+                                 load[target] > 12 ? load[target] - 12 : 0,
+                                 12 };
+      estimates[instance][target].OnReport(report, now);
+      hub.Put({ static_cast<TargetKey>(target), report, now });
     }
-    if (aIsTold && step % kAskSteps == 0) {
+    if (aIsExchanged && step % kPollSteps == 0) {
       for (const HeardLoad& one : hub.Busiest(now)) {
         for (auto& estimate : estimates) {
           estimate[static_cast<std::size_t>(one.target)].OnTold(one.load,
@@ -92,25 +92,25 @@
 
 TEST_GROUP(LoadNews){};
 
-TEST(LoadNews, TheNewestWordCounts)
+TEST(LoadNews, KeepsTheNewestReport)
 {
   LoadNews news;
-  news.Put(Heard("a", 3, kNow));
-  news.Put(Heard("a", 9, kNow - milliseconds(10)));
+  news.Put(ReportOf("a", 3, kNow));
+  news.Put(ReportOf("a", 9, kNow - milliseconds(10)));
   LONGS_EQUAL(3, news.Busiest(kNow).at(0).load.waiting);
-  news.Put(Heard("a", 1, kNow + milliseconds(10)));
+  news.Put(ReportOf("a", 1, kNow + milliseconds(10)));
   LONGS_EQUAL(1, news.Busiest(kNow).at(0).load.waiting);
 }
 
-TEST(LoadNews, TheBusiestAreToldAndOldWordsForgotten)
+TEST(LoadNews, ReturnsTheBusiestTargetsAndDropsOldReports)
 {
   LoadNewsOptions options;
-  options.most = 2;
+  options.max_reports = 2;
   LoadNews news(options);
-  news.Put(Heard("a", 1, kNow));
-  news.Put(Heard("b", 7, kNow));
-  news.Put(Heard("c", 4, kNow));
-  news.Put(Heard("d", 9, kNow - milliseconds(1501)));
+  news.Put(ReportOf("a", 1, kNow));
+  news.Put(ReportOf("b", 7, kNow));
+  news.Put(ReportOf("c", 4, kNow));
+  news.Put(ReportOf("d", 9, kNow - milliseconds(1501)));
   const auto busiest = news.Busiest(kNow);
   LONGS_EQUAL(2, busiest.size());
   CHECK(busiest.at(0).target == KeyOf(TargetId("b")));
@@ -119,23 +119,23 @@
   LONGS_EQUAL(0, news.Busiest(kNow).size());
 }
 
-TEST(LoadNews, ManyInstancesThatTellEachOtherFillTargetsEvenly)
+TEST(LoadNews, ExchangedReportsSpreadLoadMoreEvenly)
 {
-  const double alone = OverfullPlaces(false);
-  const double told = OverfullPlaces(true);
-  // Measured: 52 and 39.
-  CHECK(alone > 20);
-  CHECK(told < 0.85 * alone);
+  const double separate = MeanOverload(false);
+  const double exchanged = MeanOverload(true);
+  // Usual values: 52 and 39.
+  CHECK(separate > 20);
+  CHECK(exchanged < 0.85 * separate);
 }
 
-TEST(LoadNews, ATargetThatIsGoneGoesBeforeAllLoads)
+TEST(LoadNews, ATargetThatIsGoneRanksAboveAllLoads)
 {
   LoadNews news;
-  news.Put(Heard("a", 40, kNow));
+  news.Put(ReportOf("a", 40, kNow));
   news.Put(GoneTarget(TargetId("b"), kNow));
   const auto busiest = news.Busiest(kNow);
   CHECK(busiest.at(0).is_gone && busiest.at(0).target == KeyOf(TargetId("b")));
-  // It answered another instance since.
-  news.Put(Heard("b", 0, kNow + milliseconds(10)));
+  // It has since responded to another instance.
+  news.Put(ReportOf("b", 0, kNow + milliseconds(10)));
   CHECK_FALSE(news.Busiest(kNow).at(1).is_gone);
 }
--- a/src/jujubehead/core/routing/patience.cpp
+++ b/src/jujubehead/core/routing/patience.cpp
@@ -5,20 +5,22 @@
 namespace jujubehead::core {
 namespace {
 
-/// Beside other streams: past the objective by half.
-constexpr double kTimesBeside = 1.5;
-/// Pauses while a target reads a long prompt.
-constexpr Duration kLeast = std::chrono::milliseconds(1000);
-/// Alone: a stream that is so late has lost most of its worth anyway.
-constexpr double kTimesAlone = 3.0;
-/// Of the usual time: nine in ten waits at one load are within twice the mean.
-constexpr double kTimesUsual = 2.0;
+/// Multiple of the objective while other streams run at the target.
+constexpr double kObjectivesWithOthers = 1.5;
+/// Lower bound: a target pauses all streams while it prefills a long prompt.
+constexpr Duration kMinTimeout = std::chrono::milliseconds(1000);
+/// Multiple of the objective for the only stream at the target; a stream that
+/// is so late has lost most of its value anyway.
+constexpr double kObjectivesAlone = 3.0;
+/// Multiple of the predicted time: at a given load, nine in ten waits are
+/// within twice the mean.
+constexpr double kPredictedMultiple = 2.0;
 
 Duration
-Times(double aTimes, Duration aTime)
+Multiply(double aFactor, Duration aTime)
 {
   return Duration(
-    static_cast<Duration::rep>(aTimes * static_cast<double>(aTime.count())));
+    static_cast<Duration::rep>(aFactor * static_cast<double>(aTime.count())));
 }
 
 } // namespace
@@ -26,15 +28,15 @@
 Duration
 StreamPatience(const SilenceInput& aInput)
 {
-  const Duration beside =
-    std::max(kLeast, Times(kTimesBeside, aInput.objective));
+  const Duration with_others =
+    std::max(kMinTimeout, Multiply(kObjectivesWithOthers, aInput.objective));
   if (aInput.others_stream) {
-    return beside;
+    return with_others;
   }
-  const Duration usual = aInput.predicted.value_or(Duration(0));
-  return std::max({ beside,
-                    Times(kTimesAlone, aInput.objective),
-                    Times(kTimesUsual, usual) });
+  const Duration predicted = aInput.predicted.value_or(Duration(0));
+  return std::max({ with_others,
+                    Multiply(kObjectivesAlone, aInput.objective),
+                    Multiply(kPredictedMultiple, predicted) });
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/routing/patience_test.cpp
+++ b/src/jujubehead/core/routing/patience_test.cpp
@@ -12,7 +12,7 @@
   SilenceInput input{ milliseconds(800), std::nullopt, true };
 };
 
-TEST(Patience, BesideOtherStreamsSilenceSoonMeansSomething)
+TEST(Patience, IsShortWhileOtherStreamsRun)
 {
   CHECK(StreamPatience(input) == milliseconds(1200));
   input.predicted = milliseconds(5000);
@@ -21,7 +21,7 @@
   CHECK(StreamPatience(input) == milliseconds(1000));
 }
 
-TEST(Patience, AloneItWaitsForWhatIsUsual)
+TEST(Patience, CoversThePredictedTimeForASingleStream)
 {
   input.others_stream = false;
   CHECK(StreamPatience(input) == milliseconds(2400));
@@ -29,23 +29,23 @@
   CHECK(StreamPatience(input) == milliseconds(4000));
 }
 
-// The load of a day on which a quarter of the targets is lost: 74 instances, so
-// that each has one stream at a target, and waits of 1.2 s in the mean.
-TEST(Patience, FewWaitsInALoadedQueueAreTakenForDeath)
+// Load after a quarter of the targets is lost, with 74 instances: each has one
+// stream at a target, and the mean wait is 1.2 s.
+TEST(Patience, FewWaitsInALoadedQueueTimeOut)
 {
   std::mt19937 random(11);
   std::exponential_distribution<double> wait(1 / 1.2);
   input.others_stream = false;
   input.predicted = milliseconds(1200);
-  const SilenceInput beside{ milliseconds(800), milliseconds(1200), true };
-  int given_up = 0;
-  int given_up_beside = 0;
+  const SilenceInput with_others{ milliseconds(800), milliseconds(1200), true };
+  int timeouts = 0;
+  int timeouts_with_others = 0;
   constexpr int kWaits = 10000;
   for (int i = 0; i < kWaits; ++i) {
     const std::chrono::duration<double> one(wait(random));
-    given_up += one > StreamPatience(input) ? 1 : 0;
-    given_up_beside += one > StreamPatience(beside) ? 1 : 0;
+    timeouts += one > StreamPatience(input) ? 1 : 0;
+    timeouts_with_others += one > StreamPatience(with_others) ? 1 : 0;
   }
-  CHECK(given_up < kWaits * 15 / 100);
-  CHECK(given_up_beside > kWaits * 30 / 100);
+  CHECK(timeouts < kWaits * 15 / 100);
+  CHECK(timeouts_with_others > kWaits * 30 / 100);
 }
--- a/src/jujubehead/core/routing/placement.cpp
+++ b/src/jujubehead/core/routing/placement.cpp
@@ -47,14 +47,14 @@
   return Combine(0, detail::HashName(aName));
 }
 
-// Weighted rendezvous hashing: -capacity / ln(u), u even in (0, 1).
+// Weighted rendezvous hashing: -capacity / ln(u), u uniform in (0, 1).
 double
 WeightedScore(std::uint64_t aKey, std::uint64_t aNameHash, double aCapacity)
 {
   const std::uint64_t hash = Combine(aKey, aNameHash);
-  const double even =
+  const double uniform =
     std::ldexp(static_cast<double>(hash >> kDroppedBits) + 0.5, -kMantissaBits);
-  return -aCapacity / std::log(even);
+  return -aCapacity / std::log(uniform);
 }
 
 std::optional<std::size_t>
--- a/src/jujubehead/core/routing/placement_test.cpp
+++ b/src/jujubehead/core/routing/placement_test.cpp
@@ -36,7 +36,7 @@
 
 TEST_GROUP(Placement){};
 
-TEST(Placement, APromptReturnsToItsHomeAndOthersKeepTheirsWhenATargetLeaves)
+TEST(Placement, ARemovedTargetMovesOnlyItsOwnPrompts)
 {
   const auto all = Candidates(10);
   auto fewer = all;
@@ -52,7 +52,7 @@
   CHECK(moved > 50 && moved < 150);
 }
 
-TEST(Placement, TargetsNearTheStoreGoFirstWhileTheyHaveRoom)
+TEST(Placement, TargetsNearTheStoreComeFirstWithinTheLoadBound)
 {
   auto candidates = Candidates(10);
   candidates[3].is_at_store = true;
@@ -66,7 +66,7 @@
   CHECK_FALSE(candidates[*PlacePrompt(Prompt(1), candidates)].is_at_store);
 }
 
-TEST(Placement, ALoadedHomeIsLeftForTheNextInItsOrder)
+TEST(Placement, APromptOfAnOverloadedTargetGoesToTheNextByScore)
 {
   auto candidates = Candidates(4);
   const auto home = *PlacePrompt(Prompt(1), candidates);
@@ -77,7 +77,7 @@
   LONGS_EQUAL(home, *PlacePrompt(Prompt(1), candidates));
 }
 
-TEST(Placement, BoundedLoadKeepsAHotPromptFromOneTarget)
+TEST(Placement, TheLoadBoundSpreadsAHotPromptOverTargets)
 {
   PlacementOptions tight;
   tight.bound = 1.2;
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(Placement, ACallGoesToTheLeastLoadAndSettlesTiesNearby)
+TEST(Placement, ACallGoesToTheLeastLoadedTargetAndPrefersNearOnesOnATie)
 {
   auto candidates = Candidates(3);
   candidates[1].is_near = true;
@@ -109,7 +109,7 @@
   CHECK_FALSE(WeightedHome(1, {}).has_value());
 }
 
-TEST(Placement, AHomeIsChosenByCapacity)
+TEST(Placement, KeysAreAssignedInProportionToCapacity)
 {
   auto stores = Candidates(2);
   stores[0].capacity = 9;
@@ -122,7 +122,7 @@
 
 TEST_GROUP(LoadEstimate){};
 
-TEST(LoadEstimate, CountsItsOwnAndForgetsWhatOthersHad)
+TEST(LoadEstimate, CountsOwnRequestsAndDecaysThoseOfOthers)
 {
   LoadEstimate load;
   const Instant now{ std::chrono::seconds(5) };
@@ -134,14 +134,14 @@
   DOUBLES_EQUAL(0, load.Requests(now + std::chrono::seconds(30)), 0.01);
 }
 
-// Requests of seconds keep a target's load as it was for seconds; calls of
-// milliseconds do not.
-TEST(LoadEstimate, AReportCountsForAsLongAsRequestsLast)
+// Where requests run for seconds, a target's load changes within seconds;
+// where they run for milliseconds, within milliseconds.
+TEST(LoadEstimate, ReportsDecayWithTheDurationOfRequests)
 {
   const Instant now = Instant(std::chrono::hours(1));
   const auto after_a_second = [&](Duration aLasted) {
-    const auto usual = std::make_shared<UsualLoad>();
-    LoadEstimate target(usual);
+    const auto average = std::make_shared<UsualLoad>();
+    LoadEstimate target(average);
     for (int i = 0; i < 500; ++i) {
       target.OnBegin();
       target.OnEnd(aLasted);
@@ -153,25 +153,25 @@
   CHECK(after_a_second(std::chrono::milliseconds(20)) < 0.1);
 }
 
-TEST(LoadEstimate, WhatATargetDoesNotTellIsTakenFromItsFleet)
+TEST(LoadEstimate, ATargetWithoutReportsGetsTheAverageOfItsService)
 {
   const Instant now = Instant(std::chrono::hours(1));
-  const auto usual = std::make_shared<UsualLoad>();
-  LoadEstimate told(usual);
-  LoadEstimate untold(usual);
-  DOUBLES_EQUAL(0, untold.Requests(now), 0.01);
+  const auto average = std::make_shared<UsualLoad>();
+  LoadEstimate reported(average);
+  LoadEstimate unreported(average);
+  DOUBLES_EQUAL(0, unreported.Requests(now), 0.01);
   for (int i = 0; i < 200; ++i) {
-    told.OnReport({ 12, 20, 12 }, now);
+    reported.OnReport({ 12, 20, 12 }, now);
   }
-  DOUBLES_EQUAL(32, untold.Requests(now), 0.01);
-  DOUBLES_EQUAL(20, untold.Waiting(now), 0.01);
-  // A target that told of none is believed, and then less and less.
-  untold.OnReport({ 0, 0, 12 }, now);
-  DOUBLES_EQUAL(0, untold.Waiting(now), 0.01);
-  // The others go on telling meanwhile.
+  DOUBLES_EQUAL(32, unreported.Requests(now), 0.01);
+  DOUBLES_EQUAL(20, unreported.Waiting(now), 0.01);
+  // An idle target's own report counts at first, and less as it ages.
+  unreported.OnReport({ 0, 0, 12 }, now);
+  DOUBLES_EQUAL(0, unreported.Waiting(now), 0.01);
+  // The other target keeps reporting meanwhile.
   const Instant later = now + std::chrono::seconds(5);
   for (Instant at = now; at <= later; at += std::chrono::milliseconds(500)) {
-    told.OnReport({ 12, 20, 12 }, at);
+    reported.OnReport({ 12, 20, 12 }, at);
   }
-  CHECK(untold.Waiting(later) > 15);
+  CHECK(unreported.Waiting(later) > 15);
 }
--- a/src/jujubehead/core/routing/target_book.cpp
+++ b/src/jujubehead/core/routing/target_book.cpp
@@ -8,9 +8,9 @@
 namespace jujubehead::core {
 namespace {
 
-/// Whether routing sees a difference; a heartbeat alone is none.
+/// Compares all that routing uses, so not the heartbeat.
 bool
-LooksTheSame(const RegisteredTarget& aOne, const RegisteredTarget& aOther)
+IsSameForRouting(const RegisteredTarget& aOne, const RegisteredTarget& aOther)
 {
   const auto tie = [](const RegisteredTarget& aTarget) {
     return std::tie(aTarget.service,
@@ -52,23 +52,23 @@
 void
 TargetBook::OnAnswer(Instant aNow)
 {
-  if (m_is_away) {
-    m_returned = aNow;
+  if (m_is_unavailable) {
+    m_outage_end = aNow;
   }
-  m_is_away = false;
+  m_is_unavailable = false;
 }
 
 bool
-TargetBook::IsReturning(Instant aNow) const
+TargetBook::IsReregistering(Instant aNow) const
 {
-  return m_returned && aNow - *m_returned < m_options.return_time;
+  return m_outage_end && aNow - *m_outage_end < m_options.reregistration_time;
 }
 
 bool
 TargetBook::IsLateReport(const RegisteredTarget& aTarget) const
 {
-  const auto found = m_gone.find(aTarget.id);
-  if (found == m_gone.end()) {
+  const auto found = m_removed.find(aTarget.id);
+  if (found == m_removed.end()) {
     return false;
   }
   const RegisteredTarget& last = found->second.target;
@@ -82,7 +82,7 @@
   if (IsLateReport(aTarget)) {
     return false;
   }
-  m_gone.erase(aTarget.id);
+  m_removed.erase(aTarget.id);
   const auto [entry, is_new] =
     m_entries.try_emplace(aTarget.id, Entry{ aTarget, std::nullopt });
   if (is_new) {
@@ -92,10 +92,10 @@
   if (IsOlder(aTarget, known.target)) {
     return false;
   }
-  known.lapsed_until.reset();
+  known.kept_until.reset();
   aTarget.leaving |=
     known.target.leaving && known.target.born_ms == aTarget.born_ms;
-  const bool changed = !LooksTheSame(aTarget, known.target);
+  const bool changed = !IsSameForRouting(aTarget, known.target);
   known.target = std::move(aTarget);
   return changed;
 }
@@ -107,13 +107,13 @@
   if (found == m_entries.end()) {
     return false;
   }
-  if (IsReturning(aNow) && !found->second.target.leaving) {
-    if (!found->second.lapsed_until) {
-      found->second.lapsed_until = *m_returned + m_options.return_time;
+  if (IsReregistering(aNow) && !found->second.target.leaving) {
+    if (!found->second.kept_until) {
+      found->second.kept_until = *m_outage_end + m_options.reregistration_time;
     }
     return false;
   }
-  m_gone[aId] = { found->second.target, aNow };
+  m_removed[aId] = { found->second.target, aNow };
   m_entries.erase(found);
   return true;
 }
@@ -152,11 +152,11 @@
 bool
 TargetBook::Tick(Instant aNow)
 {
-  std::erase_if(m_gone, [&](const auto& aEntry) {
-    return aNow - aEntry.second.since > m_options.memory_time;
+  std::erase_if(m_removed, [&](const auto& aEntry) {
+    return aNow - aEntry.second.since > m_options.removed_retention;
   });
   const std::size_t dropped = std::erase_if(m_entries, [&](const auto& aEntry) {
-    return aEntry.second.lapsed_until && aNow >= *aEntry.second.lapsed_until;
+    return aEntry.second.kept_until && aNow >= *aEntry.second.kept_until;
   });
   return dropped != 0;
 }
@@ -177,7 +177,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(m_entries.begin(), m_entries.end(), [](const auto& aEntry) {
-      return aEntry.second.lapsed_until.has_value();
+      return aEntry.second.kept_until.has_value();
     }));
 }
 
--- a/src/jujubehead/core/routing/target_book_test.cpp
+++ b/src/jujubehead/core/routing/target_book_test.cpp
@@ -51,16 +51,16 @@
   }
 };
 
-TEST(TargetBook, ATargetThatLeavesTheRegistryIsGoneAtOnce)
+TEST(TargetBook, ADeregisteredTargetIsRemovedAtOnce)
 {
-  // However long the quiet wait for the change was.
+  // Regardless of how long no change came before.
   now += std::chrono::seconds(5);
   book.OnAnswer(now);
   CHECK(book.Apply({ Gone("t1") }, now));
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, WhatLapsedWhileTheRegistryWasAwayIsBelievedUntilItCanBeBack)
+TEST(TargetBook, ARegistrationLostInAnOutageIsKeptForTheReregistrationTime)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   CHECK_FALSE(book.Apply({ Gone("t1") }, now));
@@ -72,7 +72,7 @@
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, WhatCameBackStays)
+TEST(TargetBook, ATargetThatRegisteredAgainStays)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   book.Apply({ Gone("t1") }, now);
@@ -83,7 +83,7 @@
   LONGS_EQUAL(2, book.Targets().size());
 }
 
-TEST(TargetBook, AWholeReadAfterAnAbsenceKeepsWhatIsMissing)
+TEST(TargetBook, ASnapshotAfterAnOutageKeepsMissingTargets)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   book.Replace({ TargetAt("t2", 4) }, now);
@@ -93,7 +93,7 @@
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ALeavingTargetIsNotKeptOverAnAbsence)
+TEST(TargetBook, ADrainingTargetIsNotKeptAfterAnOutage)
 {
   RegisteredTarget leaving = TargetAt("t1", 2);
   leaving.leaving = true;
@@ -102,7 +102,7 @@
   CHECK(book.Apply({ Gone("t1") }, now));
 }
 
-TEST(TargetBook, ATargetThatSaidItLeavesStaysLeaving)
+TEST(TargetBook, ADrainingTargetStaysDraining)
 {
   RegisteredTarget leaving = TargetAt("t1", 2);
   leaving.leaving = true;
@@ -120,21 +120,21 @@
   STRCMP_EQUAL("10.0.0.9:80", book.Targets().front().address.c_str());
 }
 
-TEST(TargetBook, ALateReportDoesNotBringATargetBack)
+TEST(TargetBook, ALateReportDoesNotRestoreARemovedTarget)
 {
   book.Apply({ Gone("t1") }, now);
   CHECK_FALSE(book.Apply({ Put(TargetAt("t1", 1)) }, now));
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ATargetThatStartedAnewUnderItsNameIsTaken)
+TEST(TargetBook, ATargetRestartedUnderTheSameIdIsAccepted)
 {
   RegisteredTarget leaving = TargetAt("t1", 7);
   leaving.leaving = true;
   book.Apply({ Put(leaving), Gone("t1") }, now);
-  RegisteredTarget anew = TargetAt("t1", 1);
-  anew.born_ms = 2000;
-  CHECK(book.Apply({ Put(anew) }, now));
+  RegisteredTarget restarted = TargetAt("t1", 1);
+  restarted.born_ms = 2000;
+  CHECK(book.Apply({ Put(restarted) }, now));
   CHECK_FALSE(book.Targets().front().leaving);
 }
 
--- a/src/jujubehead/core/routing/target_health.cpp
+++ b/src/jujubehead/core/routing/target_health.cpp
@@ -5,7 +5,7 @@
 namespace jujubehead::core {
 namespace {
 
-constexpr std::uint32_t kMostDoublings = 6;
+constexpr std::uint32_t kMaxDoublings = 6;
 
 } // namespace
 
@@ -17,53 +17,53 @@
 void
 TargetHealth::OnAnswer()
 {
-  m_failing *= 1 - m_options.share_weight;
-  m_on_trial = false;
-  m_times_out = 0;
-  m_out_until = {};
+  m_failure_rate *= 1 - m_options.response_weight;
+  m_is_probing = false;
+  m_ejections = 0;
+  m_ejected_until = {};
 }
 
 void
 TargetHealth::OnFailure(Instant aNow)
 {
-  m_failing += m_options.share_weight * (1 - m_failing);
-  if (m_on_trial || m_failing >= m_options.failing_share) {
-    TakeOut(aNow);
+  m_failure_rate += m_options.response_weight * (1 - m_failure_rate);
+  if (m_is_probing || m_failure_rate >= m_options.max_failure_rate) {
+    Eject(aNow);
   }
 }
 
 void
 TargetHealth::OnUnreachable(Instant aNow)
 {
-  TakeOut(aNow);
+  Eject(aNow);
 }
 
 void
-TargetHealth::TakeOut(Instant aNow)
+TargetHealth::Eject(Instant aNow)
 {
-  const std::uint32_t doublings = std::min(m_times_out, kMostDoublings);
-  m_out_until = aNow + std::min(m_options.first_out * (1 << doublings),
-                                m_options.longest_out);
-  ++m_times_out;
-  m_on_trial = false;
-  // The trial decides by itself, whatever came before.
-  m_failing = 0;
+  const std::uint32_t doublings = std::min(m_ejections, kMaxDoublings);
+  m_ejected_until = aNow + std::min(m_options.first_ejection * (1 << doublings),
+                                    m_options.max_ejection);
+  ++m_ejections;
+  m_is_probing = false;
+  // The probe alone decides, regardless of earlier failures.
+  m_failure_rate = 0;
 }
 
 bool
 TargetHealth::IsUsable(Instant aNow) const
 {
-  return aNow >= m_out_until;
+  return aNow >= m_ejected_until;
 }
 
 void
 TargetHealth::OnSend(Instant aNow)
 {
-  if (m_times_out == 0) {
+  if (m_ejections == 0) {
     return;
   }
-  m_on_trial = true;
-  m_out_until = aNow + m_options.first_out;
+  m_is_probing = true;
+  m_ejected_until = aNow + m_options.first_ejection;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/routing/target_health_test.cpp
+++ b/src/jujubehead/core/routing/target_health_test.cpp
@@ -11,14 +11,14 @@
   Instant now{ std::chrono::seconds(10) };
 };
 
-TEST(TargetHealth, AnUnreachableTargetIsLeftAloneForAWhile)
+TEST(TargetHealth, AnUnreachableTargetIsEjected)
 {
   health.OnUnreachable(now);
   CHECK_FALSE(health.IsUsable(now));
   CHECK(health.IsUsable(now + milliseconds(500)));
 }
 
-TEST(TargetHealth, OneRequestTriesAgainAndOthersWait)
+TEST(TargetHealth, OnlyOneRequestProbesAnEjectedTarget)
 {
   health.OnUnreachable(now);
   now += milliseconds(600);
@@ -28,7 +28,7 @@
   CHECK(health.IsUsable(now));
 }
 
-TEST(TargetHealth, TimesOutGrowUpToTheLongest)
+TEST(TargetHealth, EjectionsGrowUpToTheLongest)
 {
   for (int i = 0; i < 10; ++i) {
     health.OnUnreachable(now);
@@ -37,7 +37,7 @@
   CHECK(health.IsUsable(now + milliseconds(4000)));
 }
 
-TEST(TargetHealth, AFewFailuresAreUsualAndManyAreNot)
+TEST(TargetHealth, OnlyAHighFailureRateEjectsATarget)
 {
   for (int i = 0; i < 60; ++i) {
     i % 7 == 0 ? health.OnFailure(now) : health.OnAnswer();
