--- a/include/jujubehead/core/membership/hub_choice.hpp
+++ b/include/jujubehead/core/membership/hub_choice.hpp
@@ -8,34 +8,35 @@
 
 namespace jujubehead::core {
 
-/// @brief How a question to a hub failed.
+/// @brief How a poll of a hub failed.
 enum class HubFailure : std::uint8_t
 {
-  kGone, ///< It is no hub, or nothing took the question.
-  kLate, ///< It took the question and did not answer in time.
+  kGone, ///< It is not a hub, or could not be reached.
+  kLate, ///< It accepted the poll and did not respond in time.
 };
 
-/// @brief Which hub an instance asks next, and after what pause.
+/// @brief Chooses which hub an instance polls next, and after what delay.
 ///
-/// One that is gone is left at once, one that answers late when it does so
-/// twice in a row. The pauses double with each failure: hubs that are merely
-/// slow would otherwise get the askers of all others too, each of which
-/// begins with a hub's whole list, and none would recover (metastable
-/// overload). Meanwhile the instance reads the operators' store by itself.
+/// A hub that is gone is left at once, one that times out after two timeouts in
+/// a row. The delay doubles with each failure (exponential backoff): otherwise
+/// slow hubs would also get the pollers of all other hubs, each of which first
+/// needs a hub's whole list, and none would recover (metastable overload).
+/// Meanwhile the instance reads the operators' store directly.
 class HubChoice
 {
 public:
-  /// @return the place of the hub to ask among so many.
+  /// @return the index of the hub to poll.
+  /// @param aHubs the number of hubs.
   [[nodiscard]] std::size_t Next(std::size_t aHubs) const;
   void OnAnswer();
-  /// @param aJitter 0 to 1, even.
-  /// @return the pause until the next question.
+  /// @param aJitter uniform in 0 to 1.
+  /// @return the delay until the next poll.
   Duration OnFailure(HubFailure aFailure, double aJitter);
 
 private:
   std::size_t m_next = 0;
-  std::uint32_t m_failures = 0; ///< Of late, less the answers since.
-  bool m_is_late = false;       ///< The present one was, the last time.
+  std::uint32_t m_failures = 0; ///< Each response takes one off.
+  bool m_is_late = false;       ///< The last poll of the current hub timed out.
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/membership/hubs.hpp
+++ b/include/jujubehead/core/membership/hubs.hpp
@@ -13,42 +13,42 @@
 
 namespace jujubehead::core {
 
-/// @brief How many instances watch what all need to know.
+/// @brief How many instances watch the stores on behalf of all.
 struct HubOptions
 {
-  /// Up to this many instances each one watches by itself: a store holds a call
-  /// of each.
+  /// Up to this many instances, each one watches the stores directly: a store
+  /// accepts a watch call of each.
   std::size_t most_without = 12;
-  /// Beyond it so many watch for all. Two thirds of a store's calls, which
-  /// leaves room for those that take over; and with 370 instances, 46 ask one
-  /// hub.
+  /// Number of hubs when there are more instances. They take two thirds of the
+  /// watch calls that a store accepts, which leaves room for hubs that take
+  /// over. With 370 instances, 46 poll each hub.
   std::size_t hubs = 8;
 };
 
-/// @return the instances that watch for all, in the order in which an instance
-/// asks them; all of them when they are few. They are chosen among those of
-/// much capacity: a hub sends the same to dozens of instances (hot spot). All
-/// instances that know the same rows choose the same ones, without asking each
-/// other.
+/// @return the hubs in the order in which the instance `aSelf` polls them; all
+/// instances when there are few. Instances with a large capacity are preferred,
+/// because a hub sends each update to dozens of instances (hot spot). All
+/// instances that know the same rows choose the same hubs, without
+/// coordination.
 std::vector<KnownInstance>
 HubsOf(std::vector<KnownInstance> aInstances,
        std::string_view aSelf,
        const HubOptions& aOptions = {});
 
-/// @return an instance's place in an order of them all that depends on a seed
-/// and that all instances that know the same rows agree on; 0 is the first.
+/// @return an instance's rank, from 0, in an order of all instances that
+/// depends on a seed. Instances that know the same rows compute the same order.
 std::size_t
 RankOf(std::span<const KnownInstance> aInstances,
        std::string_view aSelf,
        std::string_view aSeed);
 
-/// After a start: until all have written their rows, and until the hubs that
-/// follow from these have been asked. What the operator changes has to be in
-/// force from three seconds after a start.
+/// Time after a start until all instances have written their rows and have
+/// polled the hubs that result. An operator's change has to be in force within
+/// three seconds after a start.
 inline constexpr Duration kRoleSettle = std::chrono::milliseconds(2300);
 
-/// @brief Whether an instance is a hub, and which are; kept over changes of the
-/// instances that are known. Before any is known it watches by itself.
+/// @brief The present hubs, and whether this instance is one of them. Until
+/// other instances are known it is a hub of its own.
 class HubRole
 {
 public:
@@ -57,31 +57,32 @@
   {
   }
 
-  /// @param aInstances all, this one included.
+  /// @param aInstances all instances, including this one.
   void Update(std::vector<KnownInstance> aInstances,
               const HubOptions& aOptions = {});
   [[nodiscard]] bool IsHub() const { return m_is_hub; }
-  /// @brief This instance starts; without it, it started long ago.
+  /// @brief Marks the start of this instance; if never called, IsSettling() is
+  /// false.
   void OnStart(Instant aNow) { m_started = aNow; }
-  /// @return whether the other instances' rows may still be on their way. All
-  /// instances may have started at once, and before they know of each other
-  /// each one is its own hub (thundering herd).
+  /// @return whether the other instances' rows may still be missing. All
+  /// instances may have started at once, and until they know of each other each
+  /// one would act as a hub (thundering herd).
   [[nodiscard]] bool IsSettling(Instant aNow) const
   {
     return m_hubs.size() <= 1 && aNow - m_started < kRoleSettle;
   }
-  /// @return whether it watches now.
+  /// @return whether this instance watches the stores.
   [[nodiscard]] bool Watches(Instant aNow) const
   {
     return m_is_hub && !IsSettling(aNow);
   }
-  /// @return whether others ask this instance.
-  [[nodiscard]] bool HasFollowers() const { return m_is_hub && m_is_many; }
+  /// @return whether other instances poll this one.
+  [[nodiscard]] bool HasFollowers() const { return m_is_hub && m_has_non_hubs; }
   [[nodiscard]] bool IsSelf(const KnownInstance& aOne) const
   {
     return aOne.id == m_self;
   }
-  /// @return the hubs in the order in which this instance asks them.
+  /// @return the hubs in the order in which this instance polls them.
   [[nodiscard]] const std::vector<KnownInstance>& Hubs() const
   {
     return m_hubs;
@@ -92,7 +93,7 @@
   std::vector<KnownInstance> m_hubs;
   bool m_is_hub = true;
   Instant m_started{};
-  bool m_is_many = false; ///< There are others than hubs.
+  bool m_has_non_hubs = false;
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/membership/instance_book.hpp
+++ b/include/jujubehead/core/membership/instance_book.hpp
@@ -12,63 +12,68 @@
 
 namespace jujubehead::core {
 
-/// @brief An instance and where others reach it, `ip:port`.
+/// @brief An instance and the address where others reach it.
 struct KnownInstance
 {
   std::string id;
-  std::string address;
-  double capacity = 0; ///< Against other instances; 0: not told.
+  std::string address; ///< `ip:port`.
+  double capacity = 0; ///< Relative to other instances; 0: unknown.
 };
 
-/// @return an instance's row, and what a row says of one. The capacity follows
-/// the address where it is told; instances of older versions tell none.
+/// @return the value of an instance's row: its address, followed by its
+/// capacity unless that is unknown.
 std::string
 RowOf(const KnownInstance& aInstance);
+/// @return the instance that a row describes. Rows of instances of older
+/// versions have no capacity.
 KnownInstance
 InstanceOf(std::string aId, std::string_view aRow);
 
-/// @brief Times of the rows by which instances find each other.
+/// @brief Intervals of the rows by which instances discover each other.
 struct InstanceBookOptions
 {
-  /// An instance writes its row anew after this time: at 370 instances that is
-  /// one write in two seconds of all together.
+  /// An instance rewrites its row at this interval. With 370 instances that is
+  /// one write in two seconds in total.
   Duration refresh = std::chrono::minutes(10);
-  /// A row that did not change for so long is of an instance that is gone; two
-  /// refreshes may fail.
+  /// A row that was not refreshed for this long belongs to an instance that is
+  /// gone. Two refreshes in a row may fail.
   Duration expiry = std::chrono::minutes(30);
 };
 
-/// @brief A row to write under the condition that it still has a version.
+/// @brief A conditional write of a row: it applies only to the expected
+/// version.
 struct InstanceRowWrite
 {
   std::string id;
-  std::optional<std::string> value;   ///< Nothing: the row is to go.
-  std::uint64_t expected_version = 0; ///< 0: there is no row.
+  std::optional<std::string> value;   ///< Nothing: delete the row.
+  std::uint64_t expected_version = 0; ///< 0: the row does not exist.
 };
 
-/// @brief The instances that are known by the rows that they wrote, one each.
+/// @brief The known instances, from the row that each of them wrote.
 ///
-/// An instance that fails leaves its row behind; callers find out by asking.
-/// Rows that nobody refreshed are removed by whoever notices first.
+/// The row of an instance that crashed stays; callers notice when they contact
+/// it. A row that was not refreshed is deleted by the first instance to notice.
 class InstanceBook
 {
 public:
   explicit InstanceBook(KnownInstance aSelf, InstanceBookOptions aOptions = {});
 
-  /// @param aValue nothing: the row is gone.
+  /// @param aValue nothing: the row was deleted.
   void OnRow(const std::string& aId,
              std::optional<std::string> aValue,
              std::uint64_t aVersion,
              Instant aNow);
-  /// @brief All rows were read, and those told since `BeginAll` are all.
+  /// @brief Begins a snapshot: the rows passed to OnRow() until EndAll() are
+  /// all rows.
   void BeginAll() { m_rows.clear(); }
+  /// @brief Ends a snapshot.
   void EndAll() { m_is_read = true; }
 
   /// @return the other instances.
   [[nodiscard]] std::vector<KnownInstance> Others() const;
   /// @return the other instances and this one.
   [[nodiscard]] std::vector<KnownInstance> All() const;
-  /// @return what is to be written now, if anything.
+  /// @return the next write that is due, if any.
   [[nodiscard]] std::optional<InstanceRowWrite> NextWrite(Instant aNow) const;
 
 private:
@@ -76,7 +81,7 @@
   {
     std::string value;
     std::uint64_t version = 0;
-    Instant seen{}; ///< When it was first seen as it is.
+    Instant seen{}; ///< When this version was first received.
   };
 
   KnownInstance m_self;
--- a/include/jujubehead/core/membership/store_absences.hpp
+++ b/include/jujubehead/core/membership/store_absences.hpp
@@ -9,45 +9,46 @@
 
 namespace jujubehead::core {
 
-/// @brief A time that counts only while the operators' store is heard.
+/// @brief A period that counts only while the operators' store is available.
 struct HeardTime
 {
-  Duration in_one{}; ///< It is over after so long without an absence,
-  Duration in_all{}; ///< or after so long without the absences.
+  Duration in_one{}; ///< Ends after this long without an outage,
+  Duration in_all{}; ///< or after this long in total, outages not counted.
 };
 
-/// @brief The times in which the operators' store was away, as this process
-/// saw them: two calls in a row failed, which take different ways.
+/// @brief The outages of the operators' store as seen by this process: two
+/// calls in a row failed, which take different paths.
 ///
-/// A single call that fails is no absence: its connection may have fallen
-/// silent, or this process may have been suspended.
+/// A single failed call is not an outage: its connection may have been lost, or
+/// this process may have been suspended.
 class StoreAbsences
 {
 public:
-  /// @param aAsked when a call was begun that the store answered. It was there
-  /// from then on: a call that waits for a change is answered when one comes.
+  /// @param aSentAt when the call was sent that the store answered. The store
+  /// was available from then on, as a call that waits for a change is answered
+  /// only when one comes.
   /// @return whether calls had failed before it.
-  bool OnAnswer(Instant aAsked);
-  /// @brief A call got no answer from it.
+  bool OnAnswer(Instant aSentAt);
+  /// @brief A call got no response.
   void OnFailure(Instant aNow);
 
-  /// @return when a time that began at an instant is over, if the store is
-  /// heard from now on. Absences before this process began count as if it had
-  /// been heard.
+  /// @return the end of a period that began at `aBegan`, if the store is
+  /// available from now on. The time before this process started counts as
+  /// available.
   [[nodiscard]] Instant EndOf(Instant aBegan,
                               const HeardTime& aTime,
                               Instant aNow) const;
 
 private:
-  struct Absence
+  struct Outage
   {
     Instant from;
     Instant to;
   };
 
-  std::deque<Absence> m_past;            ///< The newest, oldest first.
-  std::optional<Instant> m_first_failed; ///< Since the last answer.
-  std::size_t m_failed = 0;              ///< Calls since the last answer.
+  std::deque<Outage> m_past;             ///< The newest, oldest first.
+  std::optional<Instant> m_first_failed; ///< Since the last response.
+  std::size_t m_failed = 0;              ///< Calls since the last response.
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/membership/store_paths.hpp
+++ b/include/jujubehead/core/membership/store_paths.hpp
@@ -12,24 +12,24 @@
 
 namespace jujubehead::core {
 
-/// @brief Times of the ways to the operators' store.
+/// @brief Timing of the paths to the operators' store.
 struct StorePathsOptions
 {
-  /// Between two calls that try the straight way while it is taken for down.
-  /// One such call may hang for its time-out, so they are rare against the
+  /// Interval between calls that probe the direct path while it is down. Such a
+  /// call may block until its timeout, so they have to be rare compared to the
   /// seconds within which a change has to be in force.
-  Duration straight_retry = std::chrono::milliseconds(600);
+  Duration direct_retry = std::chrono::milliseconds(600);
 };
 
-/// @brief Which way the calls of one instance to the operators' store go:
-/// straight, or, while that fails, through another instance.
+/// @brief Chooses the path of one instance's calls to the operators' store:
+/// direct, or, while that fails, relayed by another instance.
 ///
-/// A store may turn single instances away, or be cut off from them, while it
-/// serves others. An instance that is cut off then still hears of changes, and
-/// one that gives orders can renew its lease. Each failure moves on to the
-/// next instance, so that calls find one that gets through without anyone
-/// telling which. Instances try the others in an order of their own, so that
-/// they do not all ask one.
+/// A store may refuse single instances, or be partitioned from them, while it
+/// serves others. With relays, an instance that is cut off still gets changes,
+/// and a leader can renew its lease. Each failure moves on to the next
+/// instance, so that calls find one that reaches the store without
+/// coordination. Each instance tries the others in an order of its own, so that
+/// they do not all use the same relay.
 ///
 /// @code
 /// const std::string address = paths.Next(now);
@@ -39,40 +39,42 @@
 class StorePaths
 {
 public:
-  /// @param aStraight the store's own address, `ip:port`.
-  /// @param aSelf names this instance; it decides the order of the others.
-  StorePaths(std::string aStraight,
+  /// @param aDirect the store's own address, `ip:port`.
+  /// @param aSelf the id of this instance, which determines the order of the
+  /// others.
+  StorePaths(std::string aDirect,
              const std::string& aSelf,
              StorePathsOptions aOptions = {});
 
-  /// @brief The addresses of the other instances, `ip:port` each.
+  /// @param aAddresses of the other instances, `ip:port` each.
   void SetInstances(std::vector<std::string> aAddresses);
-  /// @return where the next call goes.
+  /// @return the address for the next call.
   [[nodiscard]] std::string Next(Instant aNow);
   void OnAnswer(std::string_view aAddress);
   void OnFailure(std::string_view aAddress, Instant aNow);
 
-  /// @brief A hub told what it read of the store, and will go on until then.
+  /// @brief A hub sent the changes that it read from the store, and continues
+  /// to do so until the given time.
   void OnFed(Instant aUntil) { m_fed_until = aUntil; }
-  /// @return whether changes are to be awaited from a hub, not read.
+  /// @return whether a hub sends changes, so that they need not be read.
   [[nodiscard]] bool IsFed(Instant aNow) const
   {
     return m_fed_until && aNow < *m_fed_until;
   }
 
-  /// @return whether the straight way is taken for good. Only then does an
-  /// instance pass on the calls of others, so that no call goes in a circle.
-  [[nodiscard]] bool IsStraight() const { return !m_next_straight; }
-  [[nodiscard]] const std::string& Straight() const { return m_straight; }
+  /// @return whether the direct path works. Only then does an instance relay
+  /// the calls of others, so that no call is relayed in a circle.
+  [[nodiscard]] bool IsStraight() const { return !m_next_direct; }
+  [[nodiscard]] const std::string& Straight() const { return m_direct; }
 
 private:
-  std::string m_straight;
+  std::string m_direct;
   std::uint64_t m_self_hash;
   StorePathsOptions m_options;
   std::vector<std::string> m_instances; ///< In the order of this instance.
-  std::size_t m_current = 0;            ///< Of m_instances.
-  /// While the straight way is taken for down: when to try it again.
-  std::optional<Instant> m_next_straight;
+  std::size_t m_current = 0;            ///< An index into m_instances.
+  /// Set while the direct path is down: when to probe it.
+  std::optional<Instant> m_next_direct;
   std::optional<Instant> m_fed_until;
 };
 
--- a/include/jujubehead/core/routing/configuration.hpp
+++ b/include/jujubehead/core/routing/configuration.hpp
@@ -13,17 +13,17 @@
 
 namespace jujubehead::core {
 
-/// A service: targets that serve the same requests.
+/// Identifies a service: a group of targets that serve the same requests.
 using ServiceId = Id<struct ServiceKind>;
 
-/// @brief A service that a route sends to, and its part of the requests.
+/// @brief A service that a route sends to, and its share of the requests.
 struct RouteShare
 {
   ServiceId service;
-  double weight = 1; ///< Against the weights of the route's other shares.
+  double weight = 1; ///< Relative to the weights of the route's other shares.
 };
 
-/// @brief What the operator declared for the requests of one host and path.
+/// @brief The operator's declaration for the requests of one host and path.
 struct Route
 {
   std::string name;
@@ -34,22 +34,22 @@
   bool repeatable = false; ///< May run more than once: idempotent, resumable.
   bool anonymous = false;  ///< Needs no key.
   bool carries_prompt = false;
-  Duration timeout{};            ///< Longest time until the final answer.
-  Duration objective{};          ///< To the answer, or to its first event.
+  Duration timeout{};            ///< Until the response is complete.
+  Duration objective{};          ///< To the response, or to its first event.
   std::uint32_t urgency = 5;     ///< 0 to 9, 0 is the most urgent.
   std::uint32_t max_targets = 1; ///< Targets that one request may run on.
 };
 
-/// @brief A store of kept KV cache, as declared.
+/// @brief A KV cache store, as declared.
 struct DeclaredStore
 {
   StoreId id;
   std::string address; ///< `ip:port`.
   DataCentreId data_centre;
   std::uint64_t capacity_tokens = 0;
-  double bytes_per_second = 0;      ///< Of its link; 0: not told.
-  Duration first_delay{};           ///< Of each transfer, beside its bytes.
-  std::uint32_t most_watchers = 12; ///< Calls that wait for its events at once.
+  double bytes_per_second = 0;      ///< Of its link; 0: unknown.
+  Duration first_delay{};           ///< Latency before a transfer's first byte.
+  std::uint32_t most_watchers = 12; ///< Limit of concurrent watch calls.
 };
 
 /// @brief A service, as declared.
@@ -59,8 +59,8 @@
   std::uint32_t max_connections = 0; ///< To one target, of all instances.
   bool runs_models = false;
   std::uint64_t kv_capacity_tokens = 0; ///< Of one target; 0: no model.
-  std::uint64_t kv_token_bytes = 0;     ///< KV cache of a token; 0: not told.
-  double bytes_per_second = 0;          ///< Of a target's link; 0: not told.
+  std::uint64_t kv_token_bytes = 0;     ///< KV cache per token; 0: unknown.
+  double bytes_per_second = 0;          ///< Of a target's link; 0: unknown.
 };
 
 /// @brief A client account with its keys.
@@ -68,11 +68,11 @@
 {
   AccountId id;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> urgency; ///< Goes before the route's.
-  bool dedicated = false; ///< Shares no kept KV cache with other accounts.
+  std::optional<std::uint32_t> urgency; ///< Overrides the route's.
+  bool dedicated = false; ///< Shares no stored KV cache with other accounts.
 };
 
-/// @brief What callers may send, and how long they may take.
+/// @brief Size limits and timeouts of callers' requests.
 struct CallerLimits
 {
   std::uint32_t header_bytes = 16U * 1024U;
@@ -81,7 +81,7 @@
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// @brief All that an operator declares, as one value.
+/// @brief All declarations of the operator.
 struct Declarations
 {
   std::uint64_t version = 0;
@@ -92,9 +92,10 @@
   CallerLimits limits;
 };
 
-/// @brief Declarations with the look-ups that requests need. Immutable.
+/// @brief Declarations with indexes for the lookups of requests. Immutable.
 ///
-/// A look-up costs a hash a slash of the path, whatever the number of routes.
+/// A route lookup costs one hash per slash of the path, independent of the
+/// number of routes.
 class Configuration
 {
 public:
@@ -105,13 +106,14 @@
 
   /// @param aHost the value of `Host`, with or without a port.
   /// @param aPath the path, without its query.
-  /// @return the route with the longest prefix; null when none fits.
+  /// @return the route with the longest matching prefix; null when there is
+  /// none.
   [[nodiscard]] const Route* Match(std::string_view aHost,
                                    std::string_view aPath) const;
-  /// @return the account that holds a key; null when none does.
+  /// @return the account that a key belongs to; null when there is none.
   [[nodiscard]] const DeclaredAccount* AccountOf(std::string_view aKey) const;
   [[nodiscard]] const DeclaredService* ServiceOf(const ServiceId& aId) const;
-  /// @return whether requests need keys at all.
+  /// @return whether requests need keys.
   [[nodiscard]] bool HasAccounts() const { return !m_all.accounts.empty(); }
 
 private:
--- a/include/jujubehead/core/routing/repeat_budget.hpp
+++ b/include/jujubehead/core/routing/repeat_budget.hpp
@@ -9,35 +9,35 @@
 
 namespace jujubehead::core {
 
-/// @brief Bounds of a repeat budget.
+/// @brief Limits of a retry budget.
 struct RepeatBudgetOptions
 {
-  /// The window over which the bound has to hold.
+  /// Length of the sliding window.
   Duration window = std::chrono::seconds(10);
-  /// Repeats that each request of the window allows.
+  /// Retries allowed per request in the window.
   double per_request = 0.2;
-  /// Repeats that are allowed besides, of this instance alone.
+  /// Additional retries allowed in a window, for this instance alone.
   double fixed = 1;
 };
 
-/// @brief Bounds repeats over any window of time to a share of the requests and
-/// a fixed number.
+/// @brief Limits the retries in any sliding window to a share of the requests
+/// plus a fixed number.
 ///
-/// Each instance keeps to its own part, so all of them together keep to the
-/// whole without asking each other, however many come and go: requests are
-/// counted where they arrive, and `fixed` is the whole divided by the most
-/// instances that may live. RetryBudget, beside it, bounds a long-term share
-/// and knows no window.
+/// Each instance keeps to its own part, so all instances together keep to the
+/// total without coordination, however many join or leave: requests are counted
+/// where they arrive, and `fixed` is the total divided by the maximum number of
+/// instances. RetryBudget, in contrast, limits a long-term share and has no
+/// window.
 ///
-/// A bound over sliding windows is kept by counting in slots: repeats of one
-/// slot more than the window has, requests of one slot less.
+/// The limit holds over any sliding window because, of the slots counted,
+/// retries include one slot more than a window and requests one fewer.
 class RepeatBudget
 {
 public:
   explicit RepeatBudget(RepeatBudgetOptions aOptions);
 
   void OnRequest(Instant aNow);
-  /// @return whether one more repeat may be sent now; counts it if so.
+  /// @return whether one more retry may be sent now; counts it if so.
   [[nodiscard]] bool TryRepeat(Instant aNow);
 
   [[nodiscard]] std::uint64_t Denied() const { return m_denied; }
@@ -49,14 +49,14 @@
   struct Slot
   {
     std::uint64_t requests = 0;
-    std::uint64_t repeats = 0;
+    std::uint64_t retries = 0;
   };
 
   void Advance(Instant aNow);
 
   RepeatBudgetOptions m_options;
   std::array<Slot, kSlots> m_slots{};
-  std::int64_t m_number = 0; ///< Of the present slot, since the clock's epoch.
+  std::int64_t m_number = 0; ///< Of the current slot, since the clock's epoch.
   std::uint64_t m_denied = 0;
 };
 
--- a/src/jujubehead/core/membership/hub_choice.cpp
+++ b/src/jujubehead/core/membership/hub_choice.cpp
@@ -5,8 +5,8 @@
 namespace jujubehead::core {
 namespace {
 
-constexpr Duration kFirstPause = std::chrono::milliseconds(200);
-constexpr std::uint32_t kMostDoublings = 4;
+constexpr Duration kFirstDelay = std::chrono::milliseconds(200);
+constexpr std::uint32_t kMaxDoublings = 4;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 void
 HubChoice::OnAnswer()
 {
-  // One answer does not show that the hubs can bear all askers again.
+  // One response does not show that the hubs can serve all pollers again.
   m_failures -= m_failures > 0 ? 1 : 0;
   m_is_late = false;
 }
@@ -30,16 +30,16 @@
   const bool is_left = aFailure == HubFailure::kGone || m_is_late;
   m_is_late = !is_left;
   m_next += is_left ? 1 : 0;
-  const std::uint32_t doublings = std::min(m_failures, kMostDoublings);
+  const std::uint32_t doublings = std::min(m_failures, kMaxDoublings);
   ++m_failures;
   if (aFailure == HubFailure::kGone && m_failures == 1) {
     return {};
   }
-  const Duration longest = kFirstPause * (1 << doublings);
-  // From half of it, so that those that failed together come back apart.
-  const double part = (1 + aJitter) / 2;
+  const Duration max_delay = kFirstDelay * (1 << doublings);
+  // Jitter over half of the delay spreads pollers that failed together.
+  const double share = (1 + aJitter) / 2;
   return Duration(
-    static_cast<Duration::rep>(part * static_cast<double>(longest.count())));
+    static_cast<Duration::rep>(share * static_cast<double>(max_delay.count())));
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/membership/hub_choice_test.cpp
+++ b/src/jujubehead/core/membership/hub_choice_test.cpp
@@ -13,84 +13,86 @@
 
 constexpr std::size_t kHubs = 8;
 
-/// An asker in the simulation of overload below, in steps of 10 ms.
-struct Asker
+/// A poller in the overload simulation below, which runs in steps of 10 ms.
+struct Poller
 {
   HubChoice choice;
   std::size_t hub = 0;
-  int wakes = 0;           ///< The step at which it asks.
-  std::vector<int> pieces; ///< By hub: that its next answers consist of.
+  int next_poll = 0;       ///< A step.
+  std::vector<int> pieces; ///< Responses left to transfer, by hub.
 };
 
-struct Question
+struct Poll
 {
-  int asked = 0; ///< The step.
-  std::size_t asker = 0;
+  int sent = 0; ///< The step.
+  std::size_t poller = 0;
 };
 
-/// Askers that give up after 30 steps, and need 40 large answers in a row from
-/// a hub that they come to. All need them at first, as after a burst of
-/// changes. A hub makes one large answer in a step, or five usual ones.
-/// @return time-outs in the last five of sixty seconds.
+/// Simulates pollers that time out after 30 steps, and that need 40 large
+/// responses in a row from each hub that they switch to. All need them at the
+/// start, as after a burst of changes. In a step a hub makes one large response
+/// or five usual ones.
+/// @return timeouts in the last five of sixty seconds.
 int
 LateTimeouts(bool aBacksOff)
 {
   constexpr int kSteps = 6000;
   constexpr int kLate = 5500;
   constexpr int kTimeout = 30;
-  constexpr int kUsualPause = 22;
-  constexpr int kWhole = 40;
-  constexpr std::size_t kAskers = 287;
+  constexpr int kUsualDelay = 22;
+  constexpr int kAllPieces = 40;
+  constexpr std::size_t kPollers = 287;
   constexpr double kLargeCost = 1;
   constexpr double kUsualCost = 0.2;
   std::mt19937 random(7);
-  std::vector<Asker> askers(kAskers);
-  for (std::size_t i = 0; i < kAskers; ++i) {
-    askers[i].hub = i % kHubs;
-    askers[i].pieces.assign(kHubs, kWhole);
+  std::vector<Poller> pollers(kPollers);
+  for (std::size_t i = 0; i < kPollers; ++i) {
+    pollers[i].hub = i % kHubs;
+    pollers[i].pieces.assign(kHubs, kAllPieces);
   }
-  std::vector<std::vector<Question>> queues(kHubs);
+  std::vector<std::vector<Poll>> queues(kHubs);
   int late = 0;
   for (int step = 0; step < kSteps; ++step) {
-    for (std::size_t i = 0; i < kAskers; ++i) {
-      if (askers[i].wakes == step) {
-        queues[askers[i].hub].push_back({ step, i });
+    for (std::size_t i = 0; i < kPollers; ++i) {
+      if (pollers[i].next_poll == step) {
+        queues[pollers[i].hub].push_back({ step, i });
       }
     }
     for (std::size_t hub = 0; hub < kHubs; ++hub) {
       auto& queue = queues[hub];
       for (double time = 1; time > 0 && !queue.empty();) {
-        const auto [asked, i] = queue.front();
+        const auto [sent, i] = queue.front();
         queue.erase(queue.begin());
-        Asker& asker = askers[i];
-        int& pieces = asker.pieces[hub];
+        Poller& poller = pollers[i];
+        int& pieces = poller.pieces[hub];
         time -= pieces > 1 ? kLargeCost : kUsualCost;
-        // It is made also for those who no longer wait.
-        if (step - asked > kTimeout) {
+        // A response costs time even if its poller has timed out.
+        if (step - sent > kTimeout) {
           continue;
         }
-        asker.choice.OnAnswer();
+        poller.choice.OnAnswer();
         pieces = std::max(pieces - 1, 1);
-        asker.wakes = step + (pieces > 1 ? 1 : kUsualPause);
+        poller.next_poll = step + (pieces > 1 ? 1 : kUsualDelay);
       }
     }
     for (std::size_t hub = 0; hub < kHubs; ++hub) {
-      for (const auto& [asked, i] : queues[hub]) {
-        if (step - asked != kTimeout) {
+      for (const auto& [sent, i] : queues[hub]) {
+        if (step - sent != kTimeout) {
           continue;
         }
-        Asker& asker = askers[i];
+        Poller& poller = pollers[i];
         late += step >= kLate ? 1 : 0;
         const double jitter = std::uniform_real_distribution<>(0, 1)(random);
-        const Duration pause =
-          asker.choice.OnFailure(HubFailure::kLate, jitter);
+        const Duration delay =
+          poller.choice.OnFailure(HubFailure::kLate, jitter);
         if (aBacksOff) {
-          asker.hub = asker.choice.Next(kHubs);
-          asker.wakes = step + 1 + static_cast<int>(pause / milliseconds(10));
+          poller.hub = poller.choice.Next(kHubs);
+          poller.next_poll =
+            step + 1 + static_cast<int>(delay / milliseconds(10));
         } else {
-          asker.hub = (asker.hub + 1) % kHubs;
-          asker.pieces[asker.hub] = kWhole;
-          asker.wakes = step + 1;
+          poller.hub = (poller.hub + 1) % kHubs;
+          poller.pieces[poller.hub] = kAllPieces;
+          poller.next_poll = step + 1;
         }
       }
     }
@@ -102,7 +104,7 @@
 
 TEST_GROUP(HubChoice){};
 
-TEST(HubChoice, OneThatFailsIsLeftAtOnce)
+TEST(HubChoice, LeavesAnUnreachableHubAtOnce)
 {
   HubChoice choice;
   LONGS_EQUAL(0, choice.Next(kHubs));
@@ -110,21 +112,21 @@
   LONGS_EQUAL(1, choice.Next(kHubs));
 }
 
-TEST(HubChoice, OneThatIsLateIsAskedOnceMore)
+TEST(HubChoice, PollsALateHubOnceMore)
 {
   HubChoice choice;
   CHECK(choice.OnFailure(HubFailure::kLate, 1) == milliseconds(200));
   LONGS_EQUAL(0, choice.Next(kHubs));
   CHECK(choice.OnFailure(HubFailure::kLate, 1) == milliseconds(400));
   LONGS_EQUAL(1, choice.Next(kHubs));
-  // An answer between two late ones counts.
+  // A response between two timeouts resets the count.
   choice.OnFailure(HubFailure::kLate, 1);
   choice.OnAnswer();
   choice.OnFailure(HubFailure::kLate, 1);
   LONGS_EQUAL(1, choice.Next(kHubs));
 }
 
-TEST(HubChoice, ThePausesDoubleAndShrinkWithAnswers)
+TEST(HubChoice, DelaysDoubleWithFailuresAndShrinkWithResponses)
 {
   HubChoice choice;
   choice.OnFailure(HubFailure::kGone, 1);
@@ -140,7 +142,7 @@
   CHECK(choice.OnFailure(HubFailure::kGone, 1) == Duration(0));
 }
 
-TEST(HubChoice, ItIsOneOfThemHoweverManyThereAre)
+TEST(HubChoice, TheIndexIsValidForAnyNumberOfHubs)
 {
   HubChoice choice;
   for (std::size_t hubs = 0; hubs < kHubs; ++hubs) {
@@ -149,8 +151,9 @@
   }
 }
 
-// Metastable overload: hubs were slow for a moment, and all askers go round.
-TEST(HubChoice, HubsRecoverFromAskersThatGoRound)
+// Hubs that were slow for a moment must recover although all pollers switch
+// from one hub to the next (metastable overload).
+TEST(HubChoice, HubsRecoverFromPollersThatSwitchHubs)
 {
   const int without = LateTimeouts(false);
   const int with = LateTimeouts(true);
--- a/src/jujubehead/core/membership/hubs.cpp
+++ b/src/jujubehead/core/membership/hubs.cpp
@@ -8,10 +8,10 @@
 namespace jujubehead::core {
 namespace {
 
-/// Names that differ in their last letter only must not come side by side:
+/// The order must scatter names that differ in their last letter only, because
 /// instances of one data centre often have such names.
 std::uint64_t
-OrderBySeed(std::string_view aSeed, std::string_view aId)
+SeededHash(std::string_view aSeed, std::string_view aId)
 {
   return PlacementHash(std::string(aSeed).append(1, '/').append(aId));
 }
@@ -22,24 +22,23 @@
   std::sort(aInstances.begin(),
             aInstances.end(),
             [&](const KnownInstance& aOne, const KnownInstance& aOther) {
-              return OrderBySeed(aSeed, aOne.id) <
-                     OrderBySeed(aSeed, aOther.id);
+              return SeededHash(aSeed, aOne.id) < SeededHash(aSeed, aOther.id);
             });
 }
 
-/// Those that can bear as much as half of the largest go first; the others
-/// follow in their order.
+/// Instances with at least half of the largest capacity come first; the order
+/// is otherwise kept.
 void
-PutFitFirst(std::vector<KnownInstance>& aInstances)
+PutLargestFirst(std::vector<KnownInstance>& aInstances)
 {
-  constexpr double kFitShare = 0.5;
-  double most = 0;
+  constexpr double kMinShareOfLargest = 0.5;
+  double largest = 0;
   for (const KnownInstance& one : aInstances) {
-    most = std::max(most, one.capacity);
+    largest = std::max(largest, one.capacity);
   }
   std::stable_partition(
     aInstances.begin(), aInstances.end(), [&](const KnownInstance& aOne) {
-      return aOne.capacity >= kFitShare * most;
+      return aOne.capacity >= kMinShareOfLargest * largest;
     });
 }
 
@@ -52,7 +51,7 @@
 {
   if (aInstances.size() > aOptions.most_without) {
     SortBySeed(aInstances, "hub");
-    PutFitFirst(aInstances);
+    PutLargestFirst(aInstances);
     aInstances.resize(aOptions.hubs);
   }
   SortBySeed(aInstances, aSelf);
@@ -64,10 +63,10 @@
        std::string_view aSelf,
        std::string_view aSeed)
 {
-  const std::uint64_t own = OrderBySeed(aSeed, aSelf);
+  const std::uint64_t own = SeededHash(aSeed, aSelf);
   const auto before = std::count_if(
     aInstances.begin(), aInstances.end(), [&](const KnownInstance& aOne) {
-      return OrderBySeed(aSeed, aOne.id) < own;
+      return SeededHash(aSeed, aOne.id) < own;
     });
   return static_cast<std::size_t>(before);
 }
@@ -76,7 +75,7 @@
 HubRole::Update(std::vector<KnownInstance> aInstances,
                 const HubOptions& aOptions)
 {
-  m_is_many = aInstances.size() > aOptions.most_without;
+  m_has_non_hubs = aInstances.size() > aOptions.most_without;
   m_hubs = HubsOf(std::move(aInstances), m_self, aOptions);
   m_is_hub =
     std::any_of(m_hubs.begin(), m_hubs.end(), [&](const KnownInstance& aOne) {
--- a/src/jujubehead/core/membership/hubs_test.cpp
+++ b/src/jujubehead/core/membership/hubs_test.cpp
@@ -34,30 +34,31 @@
 
 TEST_GROUP(Hubs){};
 
-TEST(Hubs, AFewInstancesAllWatch)
+TEST(Hubs, AFewInstancesAreAllHubs)
 {
   LONGS_EQUAL(12, HubsOf(Instances(12), "i3").size());
 }
 
-TEST(Hubs, AllChooseTheSameOnesAndAskThemInTheirOwnOrder)
+TEST(Hubs, AllInstancesChooseTheSameHubsAndPollThemInTheirOwnOrder)
 {
   const auto all = Instances(370);
   const auto chosen = Ids(HubsOf(all, "i0"));
   LONGS_EQUAL(8, chosen.size());
-  std::map<std::string, int> asked;
+  std::map<std::string, int> polled;
   for (const KnownInstance& one : all) {
     const auto hubs = HubsOf(all, one.id);
     CHECK(Ids(hubs) == chosen);
-    ++asked[hubs.front().id];
+    ++polled[hubs.front().id];
   }
-  // No hub is asked by over twice its part of 46.
-  for (const auto& [id, count] : asked) {
+  // No hub is polled by more than twice its share of 46 instances.
+  for (const auto& [id, count] : polled) {
     CHECK(count < 92);
   }
 }
 
-// A data centre that goes takes few hubs with it, whatever instances are named.
-TEST(Hubs, TheyLieInSeveralDataCentres)
+// The loss of a data centre must take only few hubs with it, even if the names
+// of its instances are similar.
+TEST(Hubs, AreSpreadOverDataCentres)
 {
   std::vector<KnownInstance> all;
   for (const std::string place : { "north", "south", "east", "west" }) {
@@ -75,9 +76,9 @@
   }
 }
 
-// Hot spot: a hub sends the same to dozens of instances, which is more than the
-// smallest machines can bear.
-TEST(Hubs, TheyAreInstancesOfMuchCapacity)
+// A hub sends each update to dozens of instances, more than the smallest
+// machines can handle (hot spot).
+TEST(Hubs, AreInstancesOfLargeCapacity)
 {
   auto all = Instances(295);
   for (std::size_t i = 0; i < all.size(); ++i) {
@@ -86,7 +87,7 @@
   for (const KnownInstance& hub : HubsOf(all, "i7")) {
     DOUBLES_EQUAL(0.5, hub.capacity, 1e-9);
   }
-  // Two of them are too few to watch for all.
+  // Only two large instances are left, so smaller ones fill up the hubs.
   for (std::size_t i = 32; i < all.size(); ++i) {
     all[i].capacity = 0.12;
   }
@@ -95,7 +96,7 @@
   CHECK(hubs.contains("i0") && hubs.contains("i16"));
 }
 
-TEST(Hubs, TheRankIsThePlaceInTheOrderOfAll)
+TEST(Hubs, RanksAreDistinctAndContiguous)
 {
   const auto all = Instances(40);
   std::set<std::size_t> ranks;
@@ -106,7 +107,7 @@
   LONGS_EQUAL(39, *ranks.rbegin());
 }
 
-TEST(Hubs, OneThatGoesIsReplacedByOne)
+TEST(Hubs, LosingAHubReplacesOnlyThatHub)
 {
   auto all = Instances(40);
   const auto before = Ids(HubsOf(all, "i0"));
@@ -123,7 +124,7 @@
   LONGS_EQUAL(8, after.size());
 }
 
-TEST(Hubs, AnInstanceWatchesUntilItKnowsThatOthersDo)
+TEST(Hubs, AnInstanceIsAHubUntilItKnowsTheOthers)
 {
   HubRole role("i0");
   CHECK(role.IsHub());
@@ -138,9 +139,9 @@
   LONGS_EQUAL(8, hubs);
 }
 
-// Thundering herd: all instances start at one moment, and before they know of
-// each other each one would watch everything.
-TEST(Hubs, OneThatStartsWatchesOnceItKnowsOthersOrIsSurelyAlone)
+// If all instances start at once, each one would watch all stores until they
+// know of each other (thundering herd).
+TEST(Hubs, AStartingInstanceWatchesOnceItKnowsOthersOrHasSettled)
 {
   const Instant start = Instant(std::chrono::hours(1));
   HubRole role("i0");
--- a/src/jujubehead/core/membership/instance_book.cpp
+++ b/src/jujubehead/core/membership/instance_book.cpp
@@ -30,7 +30,7 @@
   instance.id = std::move(aId);
   instance.address = aRow.substr(0, end);
   if (end != std::string_view::npos) {
-    // What cannot be read leaves it at 0, as if it were not told.
+    // A capacity that cannot be parsed stays 0, which means unknown.
     std::istringstream(std::string(aRow.substr(end))) >> instance.capacity;
   }
   return instance;
--- a/src/jujubehead/core/membership/instance_book_test.cpp
+++ b/src/jujubehead/core/membership/instance_book_test.cpp
@@ -37,7 +37,7 @@
   LONGS_EQUAL(5, refresh->expected_version);
 }
 
-TEST(InstanceBook, AnInstanceAtANewAddressWritesItsRowAnew)
+TEST(InstanceBook, AnInstanceAtANewAddressRewritesItsRow)
 {
   book.BeginAll();
   book.OnRow("i1", "10.9.9.9:7", 4, now);
@@ -47,7 +47,7 @@
   LONGS_EQUAL(4, write->expected_version);
 }
 
-TEST(InstanceBook, OthersAreAllButThisOne)
+TEST(InstanceBook, OthersExcludesThisInstance)
 {
   ReadNothing();
   book.OnRow("i1", "10.0.0.1:7", 1, now);
@@ -59,7 +59,7 @@
   STRCMP_EQUAL("10.0.0.3:7", book.Others()[0].address.c_str());
 }
 
-TEST(InstanceBook, ARowThatNobodyRefreshesIsRemoved)
+TEST(InstanceBook, AnExpiredRowIsDeleted)
 {
   ReadNothing();
   book.OnRow("i1", "10.0.0.1:7", 1, now + minutes(25));
@@ -69,12 +69,12 @@
   STRCMP_EQUAL("i2", write->id.c_str());
   CHECK_FALSE(write->value.has_value());
   LONGS_EQUAL(2, write->expected_version);
-  // It was refreshed after all.
+  // The row is refreshed before it is deleted.
   book.OnRow("i2", "10.0.0.2:7", 9, now + minutes(30));
   CHECK_FALSE(book.NextWrite(now + minutes(31)).has_value());
 }
 
-TEST(InstanceBook, AnOlderWordChangesNothing)
+TEST(InstanceBook, AnOlderVersionIsIgnored)
 {
   ReadNothing();
   book.OnRow("i2", "10.0.0.2:7", 5, now);
@@ -85,12 +85,12 @@
 
 TEST(InstanceBook, TheCapacityFollowsTheAddress)
 {
-  const KnownInstance told{ "i1", "10.0.0.1:7", 0.5 };
-  STRCMP_EQUAL("10.0.0.1:7 0.5", RowOf(told).c_str());
-  const KnownInstance back = InstanceOf("i1", RowOf(told));
-  STRCMP_EQUAL("10.0.0.1:7", back.address.c_str());
-  DOUBLES_EQUAL(0.5, back.capacity, 1e-9);
-  // An instance of an older version, and another writer.
+  const KnownInstance instance{ "i1", "10.0.0.1:7", 0.5 };
+  STRCMP_EQUAL("10.0.0.1:7 0.5", RowOf(instance).c_str());
+  const KnownInstance parsed = InstanceOf("i1", RowOf(instance));
+  STRCMP_EQUAL("10.0.0.1:7", parsed.address.c_str());
+  DOUBLES_EQUAL(0.5, parsed.capacity, 1e-9);
+  // A row of an older version, and malformed ones.
   DOUBLES_EQUAL(0, InstanceOf("i2", "10.0.0.2:7").capacity, 1e-9);
   DOUBLES_EQUAL(0, InstanceOf("i2", "10.0.0.2:7 much").capacity, 1e-9);
   STRCMP_EQUAL("10.0.0.2:7", InstanceOf("i2", "10.0.0.2:7 x").address.c_str());
--- a/src/jujubehead/core/membership/store_absences.cpp
+++ b/src/jujubehead/core/membership/store_absences.cpp
@@ -5,19 +5,19 @@
 namespace jujubehead::core {
 namespace {
 
-constexpr std::size_t kProof = 2; ///< Failed calls.
-/// Older absences than these are forgotten, which ends a time sooner. The
-/// times that are counted take some ten seconds.
-constexpr std::size_t kMostKept = 64;
+constexpr std::size_t kMinFailedCalls = 2; ///< That make an outage.
+/// Older outages are dropped, which ends a period sooner. The periods in use
+/// are about ten seconds long.
+constexpr std::size_t kMaxOutages = 64;
 
 } // namespace
 
 bool
-StoreAbsences::OnAnswer(Instant aAsked)
+StoreAbsences::OnAnswer(Instant aSentAt)
 {
-  if (m_failed >= kProof && aAsked > *m_first_failed) {
-    m_past.push_back({ *m_first_failed, aAsked });
-    if (m_past.size() > kMostKept) {
+  if (m_failed >= kMinFailedCalls && aSentAt > *m_first_failed) {
+    m_past.push_back({ *m_first_failed, aSentAt });
+    if (m_past.size() > kMaxOutages) {
       m_past.pop_front();
     }
   }
@@ -39,22 +39,22 @@
 Instant
 StoreAbsences::EndOf(Instant aBegan, const HeardTime& aTime, Instant aNow) const
 {
-  std::deque<Absence> absences = m_past;
-  if (m_failed >= kProof) {
-    absences.push_back({ *m_first_failed, aNow });
+  std::deque<Outage> outages = m_past;
+  if (m_failed >= kMinFailedCalls) {
+    outages.push_back({ *m_first_failed, aNow });
   }
   Instant start = aBegan;
   Duration left = aTime.in_all;
-  for (const Absence& absence : absences) {
-    if (absence.to <= start) {
+  for (const Outage& outage : outages) {
+    if (outage.to <= start) {
       continue;
     }
-    const Duration heard = std::max(absence.from - start, Duration(0));
-    if (heard >= std::min(aTime.in_one, left)) {
+    const Duration available = std::max(outage.from - start, Duration(0));
+    if (available >= std::min(aTime.in_one, left)) {
       break;
     }
-    left -= heard;
-    start = absence.to;
+    left -= available;
+    start = outage.to;
   }
   return start + std::min(aTime.in_one, left);
 }
--- a/src/jujubehead/core/membership/store_paths.cpp
+++ b/src/jujubehead/core/membership/store_paths.cpp
@@ -9,10 +9,10 @@
 
 namespace jujubehead::core {
 
-StorePaths::StorePaths(std::string aStraight,
+StorePaths::StorePaths(std::string aDirect,
                        const std::string& aSelf,
                        StorePathsOptions aOptions)
-  : m_straight(std::move(aStraight))
+  : m_direct(std::move(aDirect))
   , m_self_hash(detail::HashName(aSelf))
   , m_options(aOptions)
 {
@@ -45,12 +45,12 @@
 std::string
 StorePaths::Next(Instant aNow)
 {
-  if (!m_next_straight || m_instances.empty()) {
-    return m_straight;
+  if (!m_next_direct || m_instances.empty()) {
+    return m_direct;
   }
-  if (aNow >= *m_next_straight) {
-    m_next_straight = aNow + m_options.straight_retry;
-    return m_straight;
+  if (aNow >= *m_next_direct) {
+    m_next_direct = aNow + m_options.direct_retry;
+    return m_direct;
   }
   return m_instances[m_current];
 }
@@ -58,16 +58,16 @@
 void
 StorePaths::OnAnswer(std::string_view aAddress)
 {
-  if (aAddress == m_straight) {
-    m_next_straight.reset();
+  if (aAddress == m_direct) {
+    m_next_direct.reset();
   }
 }
 
 void
 StorePaths::OnFailure(std::string_view aAddress, Instant aNow)
 {
-  if (aAddress == m_straight) {
-    m_next_straight = aNow + m_options.straight_retry;
+  if (aAddress == m_direct) {
+    m_next_direct = aNow + m_options.direct_retry;
   } else if (!m_instances.empty() && aAddress == m_instances[m_current]) {
     m_current = (m_current + 1) % m_instances.size();
   }
--- a/src/jujubehead/core/membership/store_paths_test.cpp
+++ b/src/jujubehead/core/membership/store_paths_test.cpp
@@ -18,7 +18,7 @@
   }
 };
 
-TEST(StorePaths, CallsGoStraightWhileThatWorks)
+TEST(StorePaths, CallsAreDirectWhileThatWorks)
 {
   SetThree();
   STRCMP_EQUAL("store:1", paths.Next(now).c_str());
@@ -27,33 +27,33 @@
   CHECK(paths.IsStraight());
 }
 
-TEST(StorePaths, AFailureLeadsThroughAnotherInstance)
+TEST(StorePaths, AfterAFailureCallsAreRelayed)
 {
   SetThree();
   paths.OnFailure("store:1", now);
   CHECK_FALSE(paths.IsStraight());
-  const std::string way = paths.Next(now);
-  CHECK(way != "store:1");
-  // It stays with one that gets through.
-  paths.OnAnswer(way);
-  STRCMP_EQUAL(way.c_str(), paths.Next(now + milliseconds(1)).c_str());
+  const std::string address = paths.Next(now);
+  CHECK(address != "store:1");
+  // It stays with a relay that works.
+  paths.OnAnswer(address);
+  STRCMP_EQUAL(address.c_str(), paths.Next(now + milliseconds(1)).c_str());
   CHECK_FALSE(paths.IsStraight());
 }
 
-TEST(StorePaths, EachFailureMovesOnUntilAllWereAsked)
+TEST(StorePaths, EachFailureMovesOnToTheNextRelay)
 {
   SetThree();
   paths.OnFailure("store:1", now);
-  std::set<std::string> asked;
+  std::set<std::string> used;
   for (int i = 0; i < 3; ++i) {
-    const std::string way = paths.Next(now);
-    asked.insert(way);
-    paths.OnFailure(way, now);
+    const std::string address = paths.Next(now);
+    used.insert(address);
+    paths.OnFailure(address, now);
   }
-  LONGS_EQUAL(3, asked.size());
+  LONGS_EQUAL(3, used.size());
 }
 
-TEST(StorePaths, ALateFailureOfOneThatWasLeftDoesNotMoveOn)
+TEST(StorePaths, ALateFailureOfAnEarlierRelayIsIgnored)
 {
   SetThree();
   paths.OnFailure("store:1", now);
@@ -64,7 +64,7 @@
   STRCMP_EQUAL(second.c_str(), paths.Next(now).c_str());
 }
 
-TEST(StorePaths, OneCallAtATimeTriesTheStraightWayAgain)
+TEST(StorePaths, OneCallAtATimeProbesTheDirectPath)
 {
   SetThree();
   paths.OnFailure("store:1", now);
@@ -76,33 +76,33 @@
   CHECK(paths.IsStraight());
 }
 
-TEST(StorePaths, WithoutOthersItKeepsTryingTheStraightWay)
+TEST(StorePaths, WithoutOtherInstancesAllCallsAreDirect)
 {
   paths.OnFailure("store:1", now);
   STRCMP_EQUAL("store:1", paths.Next(now).c_str());
 }
 
-TEST(StorePaths, AChangeOfInstancesKeepsTheOneInUse)
+TEST(StorePaths, AChangeOfInstancesKeepsTheRelayInUse)
 {
   SetThree();
   paths.OnFailure("store:1", now);
-  const std::string way = paths.Next(now);
-  paths.SetInstances({ "d:1", "e:1", "f:1", way });
-  STRCMP_EQUAL(way.c_str(), paths.Next(now).c_str());
+  const std::string address = paths.Next(now);
+  paths.SetInstances({ "d:1", "e:1", "f:1", address });
+  STRCMP_EQUAL(address.c_str(), paths.Next(now).c_str());
   paths.SetInstances({ "d:1" });
   STRCMP_EQUAL("d:1", paths.Next(now).c_str());
   paths.SetInstances({});
   STRCMP_EQUAL("store:1", paths.Next(now).c_str());
 }
 
-TEST(StorePaths, InstancesDoNotAllAskTheSameOne)
+TEST(StorePaths, InstancesUseDifferentRelays)
 {
-  std::set<std::string> asked;
+  std::set<std::string> used;
   for (int i = 0; i < 32; ++i) {
     StorePaths one("store:1", "instance-" + std::to_string(i));
     one.SetInstances({ "a:1", "b:1", "c:1", "d:1" });
     one.OnFailure("store:1", now);
-    asked.insert(one.Next(now));
+    used.insert(one.Next(now));
   }
-  LONGS_EQUAL(4, asked.size());
+  LONGS_EQUAL(4, used.size());
 }
--- a/src/jujubehead/core/routing/configuration.cpp
+++ b/src/jujubehead/core/routing/configuration.cpp
@@ -7,7 +7,7 @@
 namespace jujubehead::core {
 namespace {
 
-/// Between host and path; neither can hold it.
+/// Separates host and path in a lookup key; neither can contain it.
 constexpr char kSeparator = ' ';
 
 std::string
--- a/src/jujubehead/core/routing/configuration_test.cpp
+++ b/src/jujubehead/core/routing/configuration_test.cpp
@@ -42,7 +42,7 @@
 
 TEST_GROUP(Configuration){};
 
-TEST(Configuration, TheLongestPrefixThatEndsAtASlashCounts)
+TEST(Configuration, MatchesTheLongestPrefixThatEndsAtASlash)
 {
   const Configuration sample = Sample();
   STRCMP_EQUAL("weekly", NameAt(sample, "/lists/weekly/7").c_str());
@@ -52,21 +52,21 @@
   STRCMP_EQUAL("root", NameAt(sample, "/").c_str());
 }
 
-TEST(Configuration, AHostIsFoundWithoutCaseAndPort)
+TEST(Configuration, HostsMatchRegardlessOfCaseAndPort)
 {
   const Configuration sample = Sample();
   CHECK(sample.Match("A.Example:8080", "/x") != nullptr);
   CHECK(sample.Match("b.example", "/x") == nullptr);
 }
 
-TEST(Configuration, APathWithoutASlashHasNoRoute)
+TEST(Configuration, APathWithoutASlashMatchesNoRoute)
 {
   const Configuration sample = Sample();
   CHECK(sample.Match("a.example", "lists") == nullptr);
   CHECK(sample.Match("a.example", "") == nullptr);
 }
 
-TEST(Configuration, EachKeyOfAnAccountNamesIt)
+TEST(Configuration, FindsAnAccountByEachOfItsKeys)
 {
   const Configuration sample = Sample();
   STRCMP_EQUAL("acme", sample.AccountOf("k2")->id.Text().c_str());
--- a/src/jujubehead/core/routing/repeat_budget.cpp
+++ b/src/jujubehead/core/routing/repeat_budget.cpp
@@ -32,21 +32,21 @@
 RepeatBudget::TryRepeat(Instant aNow)
 {
   Advance(aNow);
-  const auto present = static_cast<std::size_t>(m_number) % kSlots;
-  const std::size_t oldest = (present + 1) % kSlots;
+  const auto current = static_cast<std::size_t>(m_number) % kSlots;
+  const std::size_t oldest = (current + 1) % kSlots;
   std::uint64_t requests = 0;
-  std::uint64_t repeats = 0;
+  std::uint64_t retries = 0;
   for (std::size_t i = 0; i < kSlots; ++i) {
-    repeats += m_slots[i].repeats;
+    retries += m_slots[i].retries;
     requests += i == oldest ? 0 : m_slots[i].requests;
   }
   const double allowed =
     m_options.per_request * static_cast<double>(requests) + m_options.fixed;
-  if (static_cast<double>(repeats + 1) > allowed) {
+  if (static_cast<double>(retries + 1) > allowed) {
     ++m_denied;
     return false;
   }
-  ++m_slots[present].repeats;
+  ++m_slots[current].retries;
   return true;
 }
 
--- a/src/jujubehead/core/routing/repeat_budget_test.cpp
+++ b/src/jujubehead/core/routing/repeat_budget_test.cpp
@@ -14,9 +14,9 @@
 constexpr Duration kWindow = std::chrono::seconds(10);
 constexpr double kShare = 0.2;
 constexpr double kFixed = 8;
-constexpr std::size_t kMostInstances = 4;
+constexpr std::size_t kMaxInstances = 4;
 
-/// One thing that happens at one of the instances.
+/// A request or an attempted retry at one of the instances.
 struct Step
 {
   std::size_t instance = 0;
@@ -24,27 +24,27 @@
   bool is_request = false;
 };
 
-struct Seen
+struct Event
 {
   Instant when;
-  bool is_repeat = false;
+  bool is_retry = false;
 };
 
-/// @return whether each window of the repeats keeps to the whole budget of the
-/// requests that came in the window, or in the one before it.
+/// @return whether the retries in each window keep to the total budget for the
+/// requests in that window.
 bool
-KeepsBudget(const std::deque<Seen>& aSeen)
+KeepsBudget(const std::deque<Event>& aEvents)
 {
-  for (const Seen& last : aSeen) {
+  for (const Event& last : aEvents) {
     double requests = 0;
-    double repeats = 0;
-    for (const Seen& other : aSeen) {
+    double retries = 0;
+    for (const Event& other : aEvents) {
       const Duration age = last.when - other.when;
       const bool in_window = age >= Duration(0) && age <= kWindow;
-      repeats += other.is_repeat && in_window ? 1 : 0;
-      requests += !other.is_repeat && in_window ? 1 : 0;
+      retries += other.is_retry && in_window ? 1 : 0;
+      requests += !other.is_retry && in_window ? 1 : 0;
     }
-    if (repeats > kShare * requests + kFixed) {
+    if (retries > kShare * requests + kFixed) {
       return false;
     }
   }
@@ -55,37 +55,37 @@
 
 TEST_GROUP(RepeatBudget){};
 
-TEST(RepeatBudget, AllInstancesTogetherKeepToItOverAnyWindow)
+TEST(RepeatBudget, AllInstancesTogetherKeepItInAnyWindow)
 {
   CHECK(rc::check("the sum over instances that come and go", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(rc::gen::build(
       rc::gen::construct<Step>(),
       rc::gen::set(&Step::instance,
-                   rc::gen::inRange<std::size_t>(0, kMostInstances)),
+                   rc::gen::inRange<std::size_t>(0, kMaxInstances)),
       rc::gen::set(&Step::wait_ms, rc::gen::inRange(0, 3000)),
       rc::gen::set(&Step::is_request, rc::gen::arbitrary<bool>())));
     RepeatBudgetOptions options;
     options.window = kWindow;
     options.per_request = kShare;
-    options.fixed = kFixed / kMostInstances;
-    std::vector<RepeatBudget> budgets(kMostInstances, RepeatBudget(options));
+    options.fixed = kFixed / kMaxInstances;
+    std::vector<RepeatBudget> budgets(kMaxInstances, RepeatBudget(options));
     Instant now{ std::chrono::seconds(1000) };
-    std::deque<Seen> seen;
+    std::deque<Event> events;
     for (const Step& step : steps) {
       now += milliseconds(step.wait_ms);
       RepeatBudget& budget = budgets[step.instance];
       if (step.is_request) {
         budget.OnRequest(now);
-        seen.push_back({ now, false });
+        events.push_back({ now, false });
       } else if (budget.TryRepeat(now)) {
-        seen.push_back({ now, true });
+        events.push_back({ now, true });
       }
     }
-    RC_ASSERT(KeepsBudget(seen));
+    RC_ASSERT(KeepsBudget(events));
   }));
 }
 
-TEST(RepeatBudget, IsUsedUpAndComesBackWithTime)
+TEST(RepeatBudget, IsExhaustedAndRefillsWithTime)
 {
   RepeatBudgetOptions options;
   options.fixed = 1;
