--- a/include/jujubehead/core/membership/instance_book.hpp
+++ b/include/jujubehead/core/membership/instance_book.hpp
@@ -23,11 +23,11 @@
 /// @return the value of an instance's row: its address, followed by its
 /// capacity unless that is unknown.
 std::string
-RowOf(const KnownInstance& aInstance);
+EncodeInstanceRow(const KnownInstance& aInstance);
 /// @return the instance that a row describes. Rows of instances of older
 /// versions have no capacity.
 KnownInstance
-InstanceOf(std::string aId, std::string_view aRow);
+DecodeInstanceRow(std::string aId, std::string_view aRow);
 
 /// @brief Intervals of the rows by which instances discover each other.
 struct InstanceBookOptions
--- a/src/jujubehead/core/membership/hub_choice_test.cpp
+++ b/src/jujubehead/core/membership/hub_choice_test.cpp
@@ -37,8 +37,8 @@
 LateTimeouts(bool aBacksOff)
 {
   constexpr int kSteps = 6000;
-  constexpr int kLate = 5500;
-  constexpr int kTimeout = 30;
+  constexpr int kCountFrom = 5500;
+  constexpr int kTimeoutSteps = 30;
   constexpr int kUsualDelay = 22;
   constexpr int kAllPieces = 40;
   constexpr std::size_t kPollers = 287;
@@ -67,7 +67,7 @@
         int& pieces = poller.pieces[hub];
         time -= pieces > 1 ? kLargeCost : kUsualCost;
         // A response costs time even if its poller has timed out.
-        if (step - sent > kTimeout) {
+        if (step - sent > kTimeoutSteps) {
           continue;
         }
         poller.choice.OnAnswer();
@@ -77,11 +77,11 @@
     }
     for (std::size_t hub = 0; hub < kHubs; ++hub) {
       for (const auto& [sent, i] : queues[hub]) {
-        if (step - sent != kTimeout) {
+        if (step - sent != kTimeoutSteps) {
           continue;
         }
         Poller& poller = pollers[i];
-        late += step >= kLate ? 1 : 0;
+        late += step >= kCountFrom ? 1 : 0;
         const double jitter = std::uniform_real_distribution<>(0, 1)(random);
         const Duration delay =
           poller.choice.OnFailure(HubFailure::kLate, jitter);
--- a/src/jujubehead/core/membership/instance_book.cpp
+++ b/src/jujubehead/core/membership/instance_book.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 std::string
-RowOf(const KnownInstance& aInstance)
+EncodeInstanceRow(const KnownInstance& aInstance)
 {
   if (aInstance.capacity <= 0) {
     return aInstance.address;
@@ -23,7 +23,7 @@
 }
 
 KnownInstance
-InstanceOf(std::string aId, std::string_view aRow)
+DecodeInstanceRow(std::string aId, std::string_view aRow)
 {
   const std::size_t end = aRow.find(kSeparator);
   KnownInstance instance;
@@ -64,7 +64,7 @@
 {
   std::vector<KnownInstance> others;
   for (const auto& [id, row] : m_rows) {
-    KnownInstance other = InstanceOf(id, row.value);
+    KnownInstance other = DecodeInstanceRow(id, row.value);
     if (id != m_self.id && other.address != m_self.address) {
       others.push_back(std::move(other));
     }
@@ -88,11 +88,13 @@
   }
   const auto own = m_rows.find(m_self.id);
   if (own == m_rows.end()) {
-    return InstanceRowWrite{ m_self.id, RowOf(m_self), 0 };
+    return InstanceRowWrite{ m_self.id, EncodeInstanceRow(m_self), 0 };
   }
   const bool is_old = aNow - own->second.seen >= m_options.refresh;
-  if (own->second.value != RowOf(m_self) || is_old) {
-    return InstanceRowWrite{ m_self.id, RowOf(m_self), own->second.version };
+  if (own->second.value != EncodeInstanceRow(m_self) || is_old) {
+    return InstanceRowWrite{ m_self.id,
+                             EncodeInstanceRow(m_self),
+                             own->second.version };
   }
   for (const auto& [id, row] : m_rows) {
     if (id != m_self.id && aNow - row.seen >= m_options.expiry) {
--- a/src/jujubehead/core/membership/instance_book_test.cpp
+++ b/src/jujubehead/core/membership/instance_book_test.cpp
@@ -86,12 +86,14 @@
 TEST(InstanceBook, TheCapacityFollowsTheAddress)
 {
   const KnownInstance instance{ "i1", "10.0.0.1:7", 0.5 };
-  STRCMP_EQUAL("10.0.0.1:7 0.5", RowOf(instance).c_str());
-  const KnownInstance parsed = InstanceOf("i1", RowOf(instance));
+  STRCMP_EQUAL("10.0.0.1:7 0.5", EncodeInstanceRow(instance).c_str());
+  const KnownInstance parsed =
+    DecodeInstanceRow("i1", EncodeInstanceRow(instance));
   STRCMP_EQUAL("10.0.0.1:7", parsed.address.c_str());
   DOUBLES_EQUAL(0.5, parsed.capacity, 1e-9);
   // A row of an older version, and malformed ones.
-  DOUBLES_EQUAL(0, InstanceOf("i2", "10.0.0.2:7").capacity, 1e-9);
-  DOUBLES_EQUAL(0, InstanceOf("i2", "10.0.0.2:7 much").capacity, 1e-9);
-  STRCMP_EQUAL("10.0.0.2:7", InstanceOf("i2", "10.0.0.2:7 x").address.c_str());
+  DOUBLES_EQUAL(0, DecodeInstanceRow("i2", "10.0.0.2:7").capacity, 1e-9);
+  DOUBLES_EQUAL(0, DecodeInstanceRow("i2", "10.0.0.2:7 much").capacity, 1e-9);
+  STRCMP_EQUAL("10.0.0.2:7",
+               DecodeInstanceRow("i2", "10.0.0.2:7 x").address.c_str());
 }
--- a/src/jujubehead/core/routing/patience_test.cpp
+++ b/src/jujubehead/core/routing/patience_test.cpp
@@ -7,12 +7,12 @@
 using namespace jujubehead::core;
 using std::chrono::milliseconds;
 
-TEST_GROUP(Patience)
+TEST_GROUP(SilenceTimeout)
 {
   SilenceInput input{ milliseconds(800), std::nullopt, true };
 };
 
-TEST(Patience, IsShortWhileOtherStreamsRun)
+TEST(SilenceTimeout, IsShortWhileOtherStreamsRun)
 {
   CHECK(StreamPatience(input) == milliseconds(1200));
   input.predicted = milliseconds(5000);
@@ -21,7 +21,7 @@
   CHECK(StreamPatience(input) == milliseconds(1000));
 }
 
-TEST(Patience, CoversThePredictedTimeForASingleStream)
+TEST(SilenceTimeout, CoversThePredictedTimeForASingleStream)
 {
   input.others_stream = false;
   CHECK(StreamPatience(input) == milliseconds(2400));
@@ -31,7 +31,7 @@
 
 // Load after a quarter of the targets is lost, with 74 instances: each has one
 // stream at a target, and the mean wait is 1.2 s.
-TEST(Patience, FewWaitsInALoadedQueueTimeOut)
+TEST(SilenceTimeout, FewWaitsInALoadedQueueTimeOut)
 {
   std::mt19937 random(11);
   std::exponential_distribution<double> wait(1 / 1.2);
