--- a/include/jujubehead/core/membership/hub_choice.hpp
+++ b/include/jujubehead/core/membership/hub_choice.hpp
@@ -17,8 +17,8 @@
 
 /// @brief Chooses which hub an instance polls next, and after what delay.
 ///
-/// A hub that is gone is left at once, one that times out after two timeouts in
-/// a row. The delay doubles with each failure (exponential backoff): otherwise
+/// It leaves an unreachable hub at once, and a slow one after two timeouts in a
+/// row. The delay doubles with each failure (exponential backoff): otherwise
 /// slow hubs would also get the pollers of all other hubs, each of which first
 /// needs a hub's whole list, and none would recover (metastable overload).
 /// Meanwhile the instance reads the operators' store directly.
--- a/include/jujubehead/core/membership/store_absences.hpp
+++ b/include/jujubehead/core/membership/store_absences.hpp
@@ -19,7 +19,7 @@
 /// @brief The outages of the operators' store as seen by this process: two
 /// calls in a row failed, which take different paths.
 ///
-/// A single failed call is not an outage: its connection may have been lost, or
+/// A single failed call is not an outage: its connection may have stalled, or
 /// this process may have been suspended.
 class StoreAbsences
 {
--- a/include/jujubehead/core/routing/load_news.hpp
+++ b/include/jujubehead/core/routing/load_news.hpp
@@ -28,7 +28,8 @@
 {
   TargetKey target{};
   ReportedLoad load;
-  Instant heard{}; ///< Latest time at which it can have been received.
+  /// When it was received, or slightly before: encoding rounds the age up.
+  Instant heard{};
   /// Nothing listens at its address any more, or another target does. A target
   /// that does not respond is not gone: the network path may be broken for the
   /// reporting instance only.
--- a/src/jujubehead/core/routing/repeat_budget_test.cpp
+++ b/src/jujubehead/core/routing/repeat_budget_test.cpp
@@ -31,7 +31,7 @@
 };
 
 /// @return whether the retries in each window keep to the total budget for the
-/// requests in that window.
+/// requests in that window, both ends included.
 bool
 KeepsBudget(const std::deque<Event>& aEvents)
 {
