--- a/src/jujubehead/node/forward/caller_session.cpp
+++ b/src/jujubehead/node/forward/caller_session.cpp
@@ -29,7 +29,7 @@
 constexpr unsigned kRequestTimeout = 408;
 constexpr int kHexadecimal = 16;
 /// Bytes read from a caller during a response; more stays in the socket.
-constexpr std::size_t kMostAhead = 64UL * 1024;
+constexpr std::size_t kMaxReadAhead = 64UL * 1024;
 /// A caller that has not accepted written data for this long counts as
 /// disconnected.
 constexpr core::Duration kWriteTimeout = std::chrono::seconds(20);
@@ -40,7 +40,7 @@
 constexpr core::Duration kBodyTimeout = std::chrono::seconds(10);
 
 bool
-SaysChunksOrLength(const net::HttpHeaders& aHeaders)
+DeclaresBody(const net::HttpHeaders& aHeaders)
 {
   return aHeaders.Find("Content-Length") || aHeaders.Find("Transfer-Encoding");
 }
@@ -91,16 +91,16 @@
 asio::awaitable<void>
 CallerSession::Run()
 {
-  while (m_keep && !m_gone) {
+  while (m_keep_alive && !m_disconnected) {
     const bool has_request = co_await ReadRequest();
     if (!has_request) {
       break;
     }
-    m_answering = true;
-    WatchCaller();
+    m_is_handling = true;
+    WatchForDisconnect();
     co_await m_handler.Handle(shared_from_this());
-    m_answering = false;
-    m_on_gone = nullptr;
+    m_is_handling = false;
+    m_on_disconnect = nullptr;
     m_stream_begun = false;
     m_request = {};
   }
@@ -135,7 +135,7 @@
 void
 CallerSession::CloseIfIdle()
 {
-  if (!m_answering && m_request.begun == core::Instant{}) {
+  if (!m_is_handling && m_request.received_at == core::Instant{}) {
     error_code ignored;
     m_socket.cancel(ignored);
   }
@@ -164,8 +164,8 @@
   while (!parser->IsWhole()) {
     try {
       if (!m_input.empty()) {
-        if (m_request.begun == core::Instant{}) {
-          m_request.begun = core::RuntimeClock::now();
+        if (m_request.received_at == core::Instant{}) {
+          m_request.received_at = core::RuntimeClock::now();
         }
         m_input.erase(0, parser->Put(m_input, m_request.body));
       }
@@ -187,7 +187,7 @@
         co_return false;
       }
     }
-    const bool has_begun = m_request.begun != core::Instant{};
+    const bool has_begun = m_request.received_at != core::Instant{};
     const core::Duration timeout = parser->HasHead() ? kBodyTimeout
                                    : has_begun       ? limits.header_timeout
                                                      : limits.idle_timeout;
@@ -200,28 +200,28 @@
     }
   }
   m_request.head = parser->Head();
-  m_request.had_body = SaysChunksOrLength(m_request.head.headers);
-  m_keep = parser->KeepsAlive();
+  m_request.has_body = DeclaresBody(m_request.head.headers);
+  m_keep_alive = parser->KeepsAlive();
   co_return true;
 }
 
 asio::awaitable<void>
-CallerSession::Reject(unsigned aStatus, std::string aWhy)
+CallerSession::Reject(unsigned aStatus, std::string aDetail)
 {
-  m_handler.OnUnreadable(aWhy, aStatus);
-  m_keep = false;
-  WholeAnswer answer;
-  answer.status = aStatus;
-  answer.headers.Add("Content-Type", "text/plain");
-  answer.body = std::move(aWhy) + '\n';
-  const bool written = co_await Answer(std::move(answer));
+  m_handler.OnRejected(aDetail, aStatus);
+  m_keep_alive = false;
+  FullResponse response;
+  response.status = aStatus;
+  response.headers.Add("Content-Type", "text/plain");
+  response.body = std::move(aDetail) + '\n';
+  const bool written = co_await SendResponse(std::move(response));
   if (written) {
-    co_await LetCallerRead();
+    co_await Linger();
   }
 }
 
 asio::awaitable<void>
-CallerSession::LetCallerRead()
+CallerSession::Linger()
 {
   error_code ignored;
   m_socket.shutdown(tcp::socket::shutdown_send, ignored);
@@ -234,34 +234,34 @@
 }
 
 void
-CallerSession::OnGone(std::function<void()> aCallback)
+CallerSession::OnDisconnect(std::function<void()> aCallback)
 {
-  m_on_gone = std::move(aCallback);
-  if (m_gone) {
-    TellGone();
+  m_on_disconnect = std::move(aCallback);
+  if (m_disconnected) {
+    NotifyDisconnect();
   }
 }
 
 void
-CallerSession::TellGone()
+CallerSession::NotifyDisconnect()
 {
-  m_gone = true;
-  if (const auto callback = std::exchange(m_on_gone, nullptr)) {
+  m_disconnected = true;
+  if (const auto callback = std::exchange(m_on_disconnect, nullptr)) {
     callback();
   }
 }
 
 void
-CallerSession::WatchCaller()
+CallerSession::WatchForDisconnect()
 {
-  if (m_watching || m_input.size() >= kMostAhead) {
+  if (m_is_watching || m_input.size() >= kMaxReadAhead) {
     return;
   }
-  m_watching = true;
+  m_is_watching = true;
   m_socket.async_wait(tcp::socket::wait_read,
                       [self = shared_from_this()](const error_code& aError) {
-                        self->m_watching = false;
-                        if (!aError && self->m_answering) {
+                        self->m_is_watching = false;
+                        if (!aError && self->m_is_handling) {
                           self->OnReadable();
                         }
                       });
@@ -272,16 +272,16 @@
 {
   const error_code error = net::ReadAvailable(m_socket, m_input);
   if (error && error != asio::error::would_block) {
-    TellGone();
+    NotifyDisconnect();
     return;
   }
-  WatchCaller();
+  WatchForDisconnect();
 }
 
 std::string
-CallerSession::HeadOf(unsigned aStatus,
-                      std::string_view aReason,
-                      const net::HttpHeaders& aHeaders)
+CallerSession::FormatHead(unsigned aStatus,
+                          std::string_view aReason,
+                          const net::HttpHeaders& aHeaders)
 {
   const std::string_view reason =
     aReason.empty() ? std::string_view(boost::beast::http::obsolete_reason(
@@ -294,9 +294,9 @@
     text.append(line.name).append(": ").append(line.value).append("\r\n");
   }
   if (m_handler.IsStopping()) {
-    m_keep = false;
+    m_keep_alive = false;
   }
-  if (!m_keep) {
+  if (!m_keep_alive) {
     text.append("Connection: close\r\n");
   } else if (m_request.head.version == kHttp10) {
     text.append("Connection: keep-alive\r\n");
@@ -305,15 +305,16 @@
 }
 
 asio::awaitable<bool>
-CallerSession::Answer(WholeAnswer aAnswer)
+CallerSession::SendResponse(FullResponse aResponse)
 {
-  std::string text = HeadOf(aAnswer.status, aAnswer.reason, aAnswer.headers);
-  const bool has_body = m_request.head.method != "HEAD";
+  std::string text =
+    FormatHead(aResponse.status, aResponse.reason, aResponse.headers);
+  const bool sends_body = m_request.head.method != "HEAD";
   text.append("Content-Length: ")
-    .append(std::to_string(aAnswer.body.size()))
+    .append(std::to_string(aResponse.body.size()))
     .append("\r\n\r\n");
-  if (has_body) {
-    text.append(aAnswer.body);
+  if (sends_body) {
+    text.append(aResponse.body);
   }
   co_return co_await Write(std::move(text));
 }
@@ -324,22 +325,22 @@
                            const net::HttpHeaders& aHeaders)
 {
   m_stream_begun = true;
-  m_writes_chunks = m_request.head.version != kHttp10;
-  if (!m_writes_chunks) {
-    m_keep = false;
+  m_is_chunked = m_request.head.version != kHttp10;
+  if (!m_is_chunked) {
+    m_keep_alive = false;
   }
-  m_unwritten = HeadOf(aStatus, aReason, aHeaders);
-  if (m_writes_chunks) {
-    m_unwritten.append("Transfer-Encoding: chunked\r\n");
+  m_pending_head = FormatHead(aStatus, aReason, aHeaders);
+  if (m_is_chunked) {
+    m_pending_head.append("Transfer-Encoding: chunked\r\n");
   }
-  m_unwritten.append("\r\n");
+  m_pending_head.append("\r\n");
 }
 
 asio::awaitable<bool>
-CallerSession::WritePiece(std::string_view aBytes)
+CallerSession::WriteChunk(std::string_view aBytes)
 {
-  std::string text = std::exchange(m_unwritten, std::string());
-  if (m_writes_chunks) {
+  std::string text = std::exchange(m_pending_head, std::string());
+  if (m_is_chunked) {
     AppendHexadecimal(text, aBytes.size());
     text.append("\r\n").append(aBytes).append("\r\n");
   } else {
@@ -351,8 +352,8 @@
 asio::awaitable<bool>
 CallerSession::EndStream()
 {
-  std::string text = std::exchange(m_unwritten, std::string());
-  if (m_writes_chunks) {
+  std::string text = std::exchange(m_pending_head, std::string());
+  if (m_is_chunked) {
     text.append("0\r\n\r\n");
   }
   co_return co_await Write(std::move(text));
@@ -361,7 +362,7 @@
 asio::awaitable<bool>
 CallerSession::Write(std::string aBytes)
 {
-  if (m_gone || !m_socket.is_open()) {
+  if (m_disconnected || !m_socket.is_open()) {
     co_return false;
   }
   error_code error;
@@ -370,7 +371,7 @@
     co_return true;
   }
   if (error && error != asio::error::would_block) {
-    TellGone();
+    NotifyDisconnect();
     co_return false;
   }
   const auto self = shared_from_this();
@@ -381,22 +382,22 @@
     asio::buffer(aBytes.data() + written, aBytes.size() - written),
     kTuple);
   if (failure) {
-    TellGone();
+    NotifyDisconnect();
   }
   co_return !failure;
 }
 
 void
-CallerSession::Abandon()
+CallerSession::Cancel()
 {
   Abort();
-  TellGone();
+  NotifyDisconnect();
 }
 
 void
 CallerSession::Abort()
 {
-  m_keep = false;
+  m_keep_alive = false;
   error_code ignored;
   // A reset, so that a response without a length does not look complete.
   m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/jujubehead/node/forward/caller_session.hpp
+++ b/src/jujubehead/node/forward/caller_session.hpp
@@ -19,12 +19,12 @@
 {
   net::MessageHead head;
   std::string body;
-  bool had_body = false; ///< A length or chunked encoding was given.
-  core::Instant begun{}; ///< When its first byte was read.
+  bool has_body = false;       ///< A length or chunked encoding was given.
+  core::Instant received_at{}; ///< When its first byte was read.
 };
 
 /// @brief A response with its complete body.
-struct WholeAnswer
+struct FullResponse
 {
   unsigned status = 200;
   std::string reason;
@@ -49,7 +49,7 @@
   virtual void OnSessionBegin(CallerSession& aSession) = 0;
   virtual void OnSessionEnd(CallerSession& aSession) = 0;
   /// @brief Called when a request is rejected as malformed or late.
-  virtual void OnUnreadable(const std::string& aWhy, unsigned aStatus) = 0;
+  virtual void OnRejected(const std::string& aDetail, unsigned aStatus) = 0;
 };
 
 /// @brief One connection of a caller: reads requests, writes responses, and
@@ -72,18 +72,18 @@
 
   /// @brief Sets a function that is called once if the caller disconnects
   /// before its response is complete; an empty function removes it.
-  void OnGone(std::function<void()> aCallback);
-  [[nodiscard]] bool IsGone() const { return m_gone; }
+  void OnDisconnect(std::function<void()> aCallback);
+  [[nodiscard]] bool IsDisconnected() const { return m_disconnected; }
 
   /// @brief Sends a complete response.
   /// @return whether it was written to the socket.
-  boost::asio::awaitable<bool> Answer(WholeAnswer aAnswer);
+  boost::asio::awaitable<bool> SendResponse(FullResponse aResponse);
   /// @brief Begins a streamed response; its header is written with the first
   /// piece of the body.
   void BeginStream(unsigned aStatus,
                    std::string_view aReason,
                    const net::HttpHeaders& aHeaders);
-  boost::asio::awaitable<bool> WritePiece(std::string_view aBytes);
+  boost::asio::awaitable<bool> WriteChunk(std::string_view aBytes);
   boost::asio::awaitable<bool> EndStream();
   [[nodiscard]] bool HasStreamBegun() const { return m_stream_begun; }
   /// @brief Closes the connection unless a request is being read or handled.
@@ -92,7 +92,7 @@
   /// complete.
   void Abort();
   /// @brief Resets the connection and cancels its request.
-  void Abandon();
+  void Cancel();
 
 private:
   CallerSession(boost::asio::ip::tcp::socket aSocket, RequestHandler& aHandler);
@@ -102,27 +102,27 @@
   boost::asio::awaitable<bool> ReadMore(core::Duration aTimeout);
   boost::asio::awaitable<bool> AllowBody(const net::MessageParser& aParser);
   boost::asio::awaitable<bool> Write(std::string aBytes);
-  boost::asio::awaitable<void> Reject(unsigned aStatus, std::string aWhy);
-  boost::asio::awaitable<void> LetCallerRead();
-  void WatchCaller();
+  boost::asio::awaitable<void> Reject(unsigned aStatus, std::string aDetail);
+  boost::asio::awaitable<void> Linger();
+  void WatchForDisconnect();
   void OnReadable();
-  void TellGone();
-  [[nodiscard]] std::string HeadOf(unsigned aStatus,
-                                   std::string_view aReason,
-                                   const net::HttpHeaders& aHeaders);
+  void NotifyDisconnect();
+  [[nodiscard]] std::string FormatHead(unsigned aStatus,
+                                       std::string_view aReason,
+                                       const net::HttpHeaders& aHeaders);
 
   boost::asio::ip::tcp::socket m_socket;
   RequestHandler& m_handler;
   std::string m_input;
   CallerRequest m_request;
-  std::function<void()> m_on_gone;
-  std::string m_unwritten; ///< Header of a stream, until its first piece.
-  bool m_keep = true;
-  bool m_gone = false;
-  bool m_answering = false;
-  bool m_watching = false;
+  std::function<void()> m_on_disconnect;
+  std::string m_pending_head; ///< Header of a stream, until its first piece.
+  bool m_keep_alive = true;
+  bool m_disconnected = false;
+  bool m_is_handling = false;
+  bool m_is_watching = false;
   bool m_stream_begun = false;
-  bool m_writes_chunks = false;
+  bool m_is_chunked = false;
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/decision_log.cpp
+++ b/src/jujubehead/node/forward/decision_log.cpp
@@ -59,7 +59,7 @@
 
 DecisionLog::DecisionLog(DecisionLogOptions aOptions)
   : m_options(aOptions)
-  , m_allowed(aOptions.burst)
+  , m_available(aOptions.burst)
 {
 }
 
@@ -69,14 +69,14 @@
   const core::Instant now = core::RuntimeClock::now();
   const std::chrono::duration<double> passed = now - m_refilled;
   m_refilled = now;
-  m_allowed = std::min(m_options.burst,
-                       m_allowed + passed.count() * m_options.lines_per_second);
-  if (m_allowed < 1) {
+  m_available = std::min(
+    m_options.burst, m_available + passed.count() * m_options.lines_per_second);
+  if (m_available < 1) {
     ++m_dropped;
-    ++m_dropped_in_all;
+    ++m_dropped_total;
     return;
   }
-  m_allowed -= 1;
+  m_available -= 1;
   if (m_dropped != 0) {
     LogInfo(kLogger, LogLine("lines_dropped").Add("count", m_dropped).Text());
     m_dropped = 0;
--- a/src/jujubehead/node/forward/decision_log.hpp
+++ b/src/jujubehead/node/forward/decision_log.hpp
@@ -51,14 +51,14 @@
   /// @brief Writes a line regardless of the limit, for changes of state.
   static void WriteAlways(const LogLine& aLine);
 
-  [[nodiscard]] std::uint64_t Dropped() const { return m_dropped_in_all; }
+  [[nodiscard]] std::uint64_t Dropped() const { return m_dropped_total; }
 
 private:
   DecisionLogOptions m_options;
-  double m_allowed;
+  double m_available;
   core::Instant m_refilled{};
   std::uint64_t m_dropped = 0; ///< Since the last written line.
-  std::uint64_t m_dropped_in_all = 0;
+  std::uint64_t m_dropped_total = 0;
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/forward_attempt.cpp
+++ b/src/jujubehead/node/forward/forward_attempt.cpp
@@ -6,7 +6,7 @@
 #include "jujubehead/core/routing/patience.hpp" // for StreamPatience
 
 #include "part_places.hpp"    // for PlaceParts
-#include "target_message.hpp" // for TargetMessage
+#include "target_message.hpp" // for FormatTargetRequest
 
 // One attempt of a request at one target: the call, its reply and its
 // time-outs. Routing, retries and the final response are in forward_run.cpp.
@@ -26,18 +26,18 @@
 
 /// Longest idle time of a connection reused for requests that must not run
 /// twice: the target's own idle time-out is seconds away by then.
-constexpr Duration kFreshRest = std::chrono::milliseconds(500);
-constexpr Duration kAnyRest = std::chrono::seconds(60);
+constexpr Duration kMaxIdleNonRepeatable = std::chrono::milliseconds(500);
+constexpr Duration kMaxIdleRepeatable = std::chrono::seconds(60);
 /// A non-streaming call without a reply after this multiple of its objective
 /// counts as hung: replies usually take a tenth of the objective.
-constexpr double kCallPatience = 2.5;
+constexpr double kCallTimeoutFactor = 2.5;
 /// Share of failed replies above which a failure is blamed on the target and
 /// retried elsewhere. Below it the request itself is the likely cause, and
 /// would fail again: services usually fail one request in seven.
-constexpr double kSuspectShare = 0.3;
+constexpr double kSuspectFailureShare = 0.3;
 
 bool
-PromisesNotRun(unsigned aStatus)
+ImpliesNotRun(unsigned aStatus)
 {
   return aStatus == kRequestTimeout || aStatus == kMisdirected ||
          aStatus == kTooMany || aStatus == kUnavailable;
@@ -59,7 +59,7 @@
 } // namespace
 
 TargetCall
-ForwardRun::CallFor(const FleetTarget& aTarget)
+ForwardRun::BuildCall(const FleetTarget& aTarget)
 {
   TargetCall call;
   call.target = aTarget.target.id;
@@ -68,160 +68,162 @@
   }
   call.time_left = TimeLeft();
   call.resume_after =
-    m_cutter.LastId().empty() ? m_facts.resume_after : m_cutter.LastId();
-  if (!m_facts.prompt) {
+    m_cutter.LastId().empty() ? m_metadata.resume_after : m_cutter.LastId();
+  if (!m_metadata.prompt) {
     return call;
   }
   call.urgency = Urgency();
-  const core::Prompt& prompt = *m_facts.prompt;
+  const core::Prompt& prompt = *m_metadata.prompt;
   call.weight_version = aTarget.VersionOf(prompt.model);
   // Without a known weight version, a unique scope prevents sharing.
-  call.time_left = std::min(call.time_left, TimeOnWeights(call));
+  call.time_left = std::min(call.time_left, TimeUntilWeightsExpire(call));
   if (!call.weight_version) {
-    call.cache_scope = "alone/" + m_facts.request_id;
+    call.cache_scope = "alone/" + m_metadata.request_id;
     return call;
   }
-  const core::CacheScope scope = ScopeOn(*call.weight_version);
+  const core::CacheScope scope = ScopeFor(*call.weight_version);
   call.cache_scope = core::ToText(scope);
-  m_placed =
+  m_planned =
     PlaceParts(m_state, prompt, scope, aTarget, m_route->objective, call);
-  m_state.metrics.Add(Counter::kImportedTokens, m_placed.transferred);
-  m_state.metrics.Add(Counter::kRecomputedTokens, m_placed.anew);
-  m_state.metrics.Add(Counter::kPassedOverTokens, m_placed.passed_over);
-  ReadFromHome(m_state, prompt, aTarget, call);
+  m_state.metrics.Add(Counter::kImportedTokens, m_planned.transferred);
+  m_state.metrics.Add(Counter::kRecomputedTokens, m_planned.recomputed);
+  m_state.metrics.Add(Counter::kPassedOverTokens, m_planned.skipped);
+  ReadFromHomeTarget(m_state, prompt, aTarget, call);
   return call;
 }
 
-asio::awaitable<ForwardRun::Ended>
+asio::awaitable<ForwardRun::AttemptFailure>
 ForwardRun::Attempt(std::shared_ptr<FleetTarget> aTarget)
 {
-  m_tried.insert(aTarget->target.id);
+  m_tried_targets.insert(aTarget->target.id);
   m_last_target = aTarget->target.id.Text();
   m_last_weights.reset();
   ExchangeOptions options;
-  options.request_id = m_facts.request_id;
-  options.to_head = m_session->Request().head.method == "HEAD";
-  options.longest_rest = m_route->repeatable ? kAnyRest : kFreshRest;
+  options.request_id = m_metadata.request_id;
+  options.is_head_request = m_session->Request().head.method == "HEAD";
+  options.max_idle =
+    m_route->repeatable ? kMaxIdleRepeatable : kMaxIdleNonRepeatable;
   TargetExchange exchange(
     m_session->Executor(), m_state.dialect, aTarget, std::move(options));
   m_exchange = &exchange;
-  m_waits_for = aTarget;
-  m_lost_patience = false;
+  m_awaited_target = aTarget;
+  m_silence_timed_out = false;
   m_load_at_send = aTarget->load.Requests(core::RuntimeClock::now());
-  m_sent = core::RuntimeClock::now();
+  m_sent_at = core::RuntimeClock::now();
   aTarget->load.OnBegin();
   aTarget->health.OnSend(core::RuntimeClock::now());
-  const Ended ended = co_await Exchange(*aTarget, exchange);
-  aTarget->load.OnEnd(core::RuntimeClock::now() - m_sent);
-  aTarget->streaming -= m_is_streaming ? 1 : 0;
+  const AttemptFailure failure = co_await Exchange(*aTarget, exchange);
+  aTarget->load.OnEnd(core::RuntimeClock::now() - m_sent_at);
+  aTarget->active_streams -= m_is_streaming ? 1 : 0;
   m_is_streaming = false;
   m_exchange = nullptr;
-  m_waits_for = nullptr;
-  m_patience.Clear();
-  if (ended && m_timed_out && *ended == AttemptEnd::kBroken) {
+  m_awaited_target = nullptr;
+  m_silence_timer.Clear();
+  if (failure && m_timed_out && *failure == AttemptEnd::kBroken) {
     co_return AttemptEnd::kTimedOut;
   }
-  co_return ended;
+  co_return failure;
 }
 
-asio::awaitable<ForwardRun::Ended>
+asio::awaitable<ForwardRun::AttemptFailure>
 ForwardRun::Exchange(FleetTarget& aTarget, TargetExchange& aExchange)
 {
   const bool open = co_await aExchange.Open();
   if (!open) {
-    m_last_why = aExchange.Why();
-    if (!IsOver()) {
+    m_last_error = aExchange.Error();
+    if (!IsCancelled()) {
       aTarget.health.OnUnreachable(core::RuntimeClock::now());
     }
-    if (aExchange.WasRefused()) {
-      ReportGone(aTarget);
+    if (aExchange.WasConnectionRefused()) {
+      PublishGone(aTarget);
     }
     co_return AttemptEnd::kNotSent;
   }
-  if (IsOver()) {
+  if (IsCancelled()) {
     co_return AttemptEnd::kNotSent;
   }
-  const TargetCall call = CallFor(aTarget);
+  const TargetCall call = BuildCall(aTarget);
   m_last_weights = call.weight_version;
-  aExchange.Send(TargetMessage(m_state.dialect, m_session->Request(), call));
-  SetPatience(aTarget);
-  const ReplyPart part = co_await aExchange.ReadHead();
-  if (part == ReplyPart::kBroken) {
-    co_return EndBroken(aTarget, aExchange);
+  aExchange.Send(
+    FormatTargetRequest(m_state.dialect, m_session->Request(), call));
+  StartSilenceTimer(aTarget);
+  const ReadResult result = co_await aExchange.ReadHead();
+  if (result == ReadResult::kBroken) {
+    co_return OnBrokenReply(aTarget, aExchange);
   }
-  NoteReply(aTarget, aExchange.Facts());
-  const ReplyFacts& facts = aExchange.Facts();
+  RecordReply(aTarget, aExchange.Metadata());
+  const ReplyFacts& metadata = aExchange.Metadata();
   const unsigned status = aExchange.Head().status;
-  if (facts.not_run) {
-    co_return EndRefused(aTarget, status, facts);
+  if (metadata.not_run) {
+    co_return OnRefusal(aTarget, status, metadata);
   }
-  if (!facts.is_signed || facts.is_encoded || PromisesNotRun(status)) {
-    m_last_why =
+  if (!metadata.is_signed || metadata.is_encoded || ImpliesNotRun(status)) {
+    m_last_error =
       "reply is not from the target, status " + std::to_string(status);
     aTarget.health.OnFailure(core::RuntimeClock::now());
     co_return AttemptEnd::kBroken;
   }
   if (IsSuccess(status) && m_route->streams &&
       IsEventStream(aExchange.Head())) {
-    co_return co_await PassStream(aTarget, aExchange, part);
+    co_return co_await RelayStream(aTarget, aExchange, result);
   }
-  co_return co_await PassWhole(aTarget, aExchange, part);
+  co_return co_await RelayBuffered(aTarget, aExchange, result);
 }
 
 void
-ForwardRun::NoteReply(FleetTarget& aTarget, const ReplyFacts& aFacts)
+ForwardRun::RecordReply(FleetTarget& aTarget, const ReplyFacts& aMetadata)
 {
   const core::Instant now = core::RuntimeClock::now();
-  aTarget.last_heard = now;
-  if (aFacts.load) {
-    aTarget.load.OnReport(*aFacts.load, now);
-    if (m_state.tells_loads) {
-      m_state.heard_loads.Put(
-        { core::KeyOf(aTarget.target.id), *aFacts.load, now });
+  aTarget.last_response_at = now;
+  if (aMetadata.load) {
+    aTarget.load.OnReport(*aMetadata.load, now);
+    if (m_state.shares_loads) {
+      m_state.pending_load_reports.Put(
+        { core::KeyOf(aTarget.target.id), *aMetadata.load, now });
     }
   }
-  if (aFacts.weight_version && m_facts.prompt) {
-    aTarget.OnVersion(m_facts.prompt->model, *aFacts.weight_version);
+  if (aMetadata.weight_version && m_metadata.prompt) {
+    aTarget.OnVersion(m_metadata.prompt->model, *aMetadata.weight_version);
   }
 }
 
 void
-ForwardRun::ReportGone(const FleetTarget& aTarget)
+ForwardRun::PublishGone(const FleetTarget& aTarget)
 {
-  if (m_state.tells_loads) {
-    m_state.heard_loads.Put(
+  if (m_state.shares_loads) {
+    m_state.pending_load_reports.Put(
       core::GoneTarget(aTarget.target.id, core::RuntimeClock::now()));
   }
 }
 
-ForwardRun::Ended
-ForwardRun::EndBroken(FleetTarget& aTarget, const TargetExchange& aExchange)
+ForwardRun::AttemptFailure
+ForwardRun::OnBrokenReply(FleetTarget& aTarget, const TargetExchange& aExchange)
 {
-  if (m_session->IsGone()) {
+  if (m_session->IsDisconnected()) {
     return std::nullopt;
   }
-  m_last_why = m_timed_out       ? "request timed out"
-               : m_lost_patience ? "target stopped responding"
-                                 : aExchange.Why();
-  if (!m_timed_out && !m_lost_patience) {
+  m_last_error = m_timed_out           ? "request timed out"
+                 : m_silence_timed_out ? "target stopped responding"
+                                       : aExchange.Error();
+  if (!m_timed_out && !m_silence_timed_out) {
     aTarget.health.OnFailure(core::RuntimeClock::now());
   }
   return AttemptEnd::kBroken;
 }
 
-ForwardRun::Ended
-ForwardRun::EndRefused(FleetTarget& aTarget,
-                       unsigned aStatus,
-                       const ReplyFacts& aFacts)
+ForwardRun::AttemptFailure
+ForwardRun::OnRefusal(FleetTarget& aTarget,
+                      unsigned aStatus,
+                      const ReplyFacts& aMetadata)
 {
-  m_last_why = "target refused the request";
+  m_last_error = "target refused the request";
   m_state.metrics.Add(Counter::kTargetRefusals);
   // A full target is healthy. One that is a different target or has different
   // weights is not used until its state is known again.
-  if (!aFacts.load && !aFacts.weight_version) {
+  if (!aMetadata.load && !aMetadata.weight_version) {
     aTarget.health.OnUnreachable(core::RuntimeClock::now());
     if (aStatus == kMisdirected) {
-      ReportGone(aTarget);
+      PublishGone(aTarget);
     }
   } else {
     aTarget.health.OnAnswer();
@@ -229,40 +231,40 @@
   return AttemptEnd::kRefused;
 }
 
-asio::awaitable<ForwardRun::Ended>
-ForwardRun::PassWhole(FleetTarget& aTarget,
-                      TargetExchange& aExchange,
-                      ReplyPart aPart)
+asio::awaitable<ForwardRun::AttemptFailure>
+ForwardRun::RelayBuffered(FleetTarget& aTarget,
+                          TargetExchange& aExchange,
+                          ReadResult aResult)
 {
-  while (aPart == ReplyPart::kMore) {
-    aPart = co_await aExchange.ReadBody();
+  while (aResult == ReadResult::kMore) {
+    aResult = co_await aExchange.ReadBody();
   }
-  if (aPart == ReplyPart::kBroken) {
-    co_return EndBroken(aTarget, aExchange);
+  if (aResult == ReadResult::kBroken) {
+    co_return OnBrokenReply(aTarget, aExchange);
   }
-  m_patience.Clear();
-  WholeAnswer answer;
-  answer.status = aExchange.Head().status;
-  answer.reason = aExchange.Head().reason;
-  answer.headers = LinesForCaller(aExchange.Head().headers);
-  answer.body = std::move(aExchange.Body());
-  if (answer.status >= kServerError) {
+  m_silence_timer.Clear();
+  FullResponse response;
+  response.status = aExchange.Head().status;
+  response.reason = aExchange.Head().reason;
+  response.headers = HeadersForCaller(aExchange.Head().headers);
+  response.body = std::move(aExchange.Body());
+  if (response.status >= kServerError) {
     aTarget.health.OnFailure(core::RuntimeClock::now());
-    m_last_why = "target returned status " + std::to_string(answer.status);
+    m_last_error = "target returned status " + std::to_string(response.status);
     if (m_session->HasStreamBegun() ||
-        aTarget.health.FailingShare() > kSuspectShare) {
-      m_failure = std::move(answer);
+        aTarget.health.FailingShare() > kSuspectFailureShare) {
+      m_target_failure = std::move(response);
       co_return AttemptEnd::kFailed;
     }
   } else {
     aTarget.health.OnAnswer();
   }
   if (m_session->HasStreamBegun()) {
-    m_last_why = "target did not resume the stream";
+    m_last_error = "target did not resume the stream";
     co_return AttemptEnd::kBroken;
   }
-  const unsigned status = answer.status;
-  const bool written = co_await m_session->Answer(std::move(answer));
+  const unsigned status = response.status;
+  const bool written = co_await m_session->SendResponse(std::move(response));
   if (written) {
     m_state.metrics.Add(Counter::kAnswers);
     LogEnd("answered", status, {});
@@ -270,41 +272,41 @@
   co_return std::nullopt;
 }
 
-asio::awaitable<ForwardRun::Ended>
-ForwardRun::PassStream(FleetTarget& aTarget,
-                       TargetExchange& aExchange,
-                       ReplyPart aPart)
+asio::awaitable<ForwardRun::AttemptFailure>
+ForwardRun::RelayStream(FleetTarget& aTarget,
+                        TargetExchange& aExchange,
+                        ReadResult aResult)
 {
   for (;;) {
     const std::string events = m_cutter.Take(aExchange.Body());
     if (!events.empty()) {
-      aTarget.last_heard = core::RuntimeClock::now();
-      aTarget.streaming += m_is_streaming ? 0 : 1;
+      aTarget.last_response_at = core::RuntimeClock::now();
+      aTarget.active_streams += m_is_streaming ? 0 : 1;
       m_is_streaming = true;
-      SetPatience(aTarget);
+      StartSilenceTimer(aTarget);
       if (!m_session->HasStreamBegun()) {
-        m_first_event = aTarget.last_heard;
-        m_state.waits[m_route->name].OnFirstAnswer(m_load_at_send,
-                                                   m_first_event - m_sent);
+        m_first_event_at = aTarget.last_response_at;
+        m_state.waits[m_route->name].OnFirstAnswer(
+          m_load_at_send, m_first_event_at - m_sent_at);
         m_session->BeginStream(aExchange.Head().status,
                                aExchange.Head().reason,
-                               LinesForCaller(aExchange.Head().headers));
+                               HeadersForCaller(aExchange.Head().headers));
       }
-      const bool written = co_await m_session->WritePiece(events);
+      const bool written = co_await m_session->WriteChunk(events);
       if (!written) {
         co_return std::nullopt;
       }
     }
-    if (aPart != ReplyPart::kMore) {
+    if (aResult != ReadResult::kMore) {
       break;
     }
-    aPart = co_await aExchange.ReadBody();
+    aResult = co_await aExchange.ReadBody();
   }
-  if (aPart == ReplyPart::kBroken) {
-    co_return EndBroken(aTarget, aExchange);
+  if (aResult == ReadResult::kBroken) {
+    co_return OnBrokenReply(aTarget, aExchange);
   }
   if (!aExchange.Body().empty()) {
-    m_last_why = "stream ended in the middle of an event";
+    m_last_error = "stream ended in the middle of an event";
     aTarget.health.OnFailure(core::RuntimeClock::now());
     co_return AttemptEnd::kBroken;
   }
@@ -312,7 +314,7 @@
   if (!m_session->HasStreamBegun()) {
     m_session->BeginStream(aExchange.Head().status,
                            aExchange.Head().reason,
-                           LinesForCaller(aExchange.Head().headers));
+                           HeadersForCaller(aExchange.Head().headers));
   }
   const bool written = co_await m_session->EndStream();
   if (written) {
@@ -322,16 +324,16 @@
     m_state.metrics.Record(Timing::kTimeToFirstToken,
                            account,
                            m_last_target,
-                           m_first_event - m_session->Request().begun);
+                           m_first_event_at - m_session->Request().received_at);
     LogEnd("answered", aExchange.Head().status, {});
   }
   co_return std::nullopt;
 }
 
 Duration
-ForwardRun::TimeOnWeights(const TargetCall& aCall) const
+ForwardRun::TimeUntilWeightsExpire(const TargetCall& aCall) const
 {
-  const auto wanted = m_state.wanted_weights.find(m_facts.prompt->model);
+  const auto wanted = m_state.wanted_weights.find(m_metadata.prompt->model);
   if (wanted == m_state.wanted_weights.end() || !aCall.weight_version) {
     return Duration::max();
   }
@@ -341,40 +343,41 @@
 }
 
 void
-ForwardRun::SetPatience(const FleetTarget& aTarget)
+ForwardRun::StartSilenceTimer(const FleetTarget& aTarget)
 {
   if (!m_route->repeatable ||
       m_history.may_have_run + 1 >= m_route->max_targets) {
     return;
   }
-  m_waits_since = core::RuntimeClock::now();
+  m_awaiting_since = core::RuntimeClock::now();
   if (m_route->streams) {
     core::SilenceInput input;
     input.objective = m_route->objective;
     input.predicted = m_state.waits[m_route->name].At(m_load_at_send);
     const std::uint32_t own = m_is_streaming ? 1 : 0;
-    input.others_stream = aTarget.streaming > own;
-    m_patience.Set(core::StreamPatience(input));
+    input.others_stream = aTarget.active_streams > own;
+    m_silence_timer.Set(core::StreamPatience(input));
     return;
   }
-  const Duration patience(static_cast<Duration::rep>(
-    kCallPatience * static_cast<double>(m_route->objective.count())));
-  m_patience.Set(std::min(patience, TimeLeft() / 2));
+  const Duration timeout(static_cast<Duration::rep>(
+    kCallTimeoutFactor * static_cast<double>(m_route->objective.count())));
+  m_silence_timer.Set(std::min(timeout, TimeLeft() / 2));
 }
 
 void
-ForwardRun::LosePatience()
+ForwardRun::OnSilenceTimeout()
 {
-  if (m_exchange == nullptr || !m_waits_for) {
+  if (m_exchange == nullptr || !m_awaited_target) {
     return;
   }
-  if (m_route->streams && m_waits_for->last_heard > m_waits_since) {
+  if (m_route->streams &&
+      m_awaited_target->last_response_at > m_awaiting_since) {
     // It responds to other requests, so it is busy, not hung.
-    SetPatience(*m_waits_for);
+    StartSilenceTimer(*m_awaited_target);
     return;
   }
-  m_lost_patience = true;
-  m_waits_for->health.OnUnreachable(core::RuntimeClock::now());
+  m_silence_timed_out = true;
+  m_awaited_target->health.OnUnreachable(core::RuntimeClock::now());
   m_exchange->Close();
 }
 
--- a/src/jujubehead/node/forward/forward_run.cpp
+++ b/src/jujubehead/node/forward/forward_run.cpp
@@ -14,7 +14,7 @@
 using core::Duration;
 using core::NextStep;
 
-constexpr std::int64_t kMicrosOfMs = 1000;
+constexpr std::int64_t kMicrosPerMs = 1000;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
@@ -23,24 +23,24 @@
 constexpr unsigned kGatewayTimeout = 504;
 
 /// Network time of a response to its caller; subtracted from the caller's time.
-constexpr Duration kWayBack = std::chrono::milliseconds(15);
+constexpr Duration kResponseNetworkTime = std::chrono::milliseconds(15);
 /// A request with less time left is not sent: no target responds within it.
-constexpr Duration kLeastTime = std::chrono::milliseconds(10);
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(10);
 /// Range of `Retry-After`: full targets have capacity again after about this
 /// time. Randomized so that refused callers do not return at once.
-constexpr std::int64_t kComeBackFromMs = 150;
-constexpr std::int64_t kComeBackToMs = 450;
+constexpr std::int64_t kRetryAfterMinMs = 150;
+constexpr std::int64_t kRetryAfterMaxMs = 450;
 /// A target whose weights expire within this time gets no new requests, as most
 /// would not finish.
-constexpr Duration kOldWeightsTime = std::chrono::milliseconds(2500);
+constexpr Duration kOldWeightsMargin = std::chrono::milliseconds(2500);
 /// Nearly all requests finish within this time, even at loaded targets. A
 /// stopping instance with less time left refuses new ones.
-constexpr Duration kUsualLongest = std::chrono::milliseconds(4700);
+constexpr Duration kUsualMaxDuration = std::chrono::milliseconds(4700);
 /// `Retry-After` is at most the caller's time left divided by this.
-constexpr int kComeBackShare = 3;
+constexpr int kRetryAfterDivisor = 3;
 /// Share of a service's targets that must hold the newest weights before
 /// requests go to those only; fewer could not handle the load.
-constexpr double kEnoughNewest = 0.5;
+constexpr double kMinNewestShare = 0.5;
 
 std::string_view
 NameOf(AttemptEnd aEnd)
@@ -66,58 +66,59 @@
                        std::shared_ptr<CallerSession> aSession)
   : m_state(aState)
   , m_session(std::move(aSession))
-  , m_deadline(m_session->Executor(),
-               [this] {
-                 m_timed_out = true;
-                 Stop();
-               })
-  , m_patience(m_session->Executor(), [this] { LosePatience(); })
+  , m_deadline_timer(m_session->Executor(),
+                     [this] {
+                       m_timed_out = true;
+                       CancelExchange();
+                     })
+  , m_silence_timer(m_session->Executor(), [this] { OnSilenceTimeout(); })
 {
 }
 
 Duration
 ForwardRun::TimeLeft() const
 {
-  return m_until - core::RuntimeClock::now();
+  return m_expires_at - core::RuntimeClock::now();
 }
 
 void
-ForwardRun::Stop()
+ForwardRun::CancelExchange()
 {
   if (m_exchange != nullptr) {
     m_exchange->Close();
   }
 }
 
-std::optional<ForwardRun::OwnAnswer>
+std::optional<ForwardRun::LocalReply>
 ForwardRun::Prepare()
 {
   m_configuration = m_state.configuration;
   const CallerRequest& request = m_session->Request();
-  auto facts = m_state.dialect.ReadCaller(request.head.headers);
-  if (facts.has_error()) {
-    return OwnAnswer{ kBadRequest, core::Render(facts.error()), false };
+  auto metadata = m_state.dialect.ReadCaller(request.head.headers);
+  if (metadata.has_error()) {
+    return LocalReply{ kBadRequest, core::Render(metadata.error()), false };
   }
-  m_facts = std::move(*facts);
+  m_metadata = std::move(*metadata);
   if (!m_configuration) {
-    return OwnAnswer{ kUnavailable, "configuration not loaded yet", true };
+    return LocalReply{ kUnavailable, "configuration not loaded yet", true };
   }
   const std::string_view target = request.head.target;
   if (!target.starts_with('/')) {
-    return OwnAnswer{ kBadRequest, "request target is not a path", false };
+    return LocalReply{ kBadRequest, "request target is not a path", false };
   }
   const auto host = request.head.headers.Find("Host");
   m_route = m_configuration->Match(host.value_or(std::string_view()),
                                    target.substr(0, target.find('?')));
   if (m_route == nullptr || m_route->shares.empty()) {
-    return OwnAnswer{ kNotFound, "no matching route", false };
+    return LocalReply{ kNotFound, "no matching route", false };
   }
   if (auto refusal = Identify()) {
     return refusal;
   }
-  if (core::RuntimeClock::now() + std::min(m_route->timeout, kUsualLongest) >
-      m_state.ends_at) {
-    return OwnAnswer{ kUnavailable, "instance is shutting down", true };
+  if (core::RuntimeClock::now() +
+        std::min(m_route->timeout, kUsualMaxDuration) >
+      m_state.exits_at) {
+    return LocalReply{ kUnavailable, "instance is shutting down", true };
   }
   std::vector<double> weights;
   for (const core::RouteShare& share : m_route->shares) {
@@ -126,32 +127,33 @@
   std::discrete_distribution<std::size_t> by_weight(weights.begin(),
                                                     weights.end());
   m_service = m_route->shares[by_weight(m_state.random)].service;
-  LimitTime();
+  SetTimeLimit();
   return std::nullopt;
 }
 
-std::optional<ForwardRun::OwnAnswer>
+std::optional<ForwardRun::LocalReply>
 ForwardRun::Identify()
 {
   if (!m_configuration->HasAccounts()) {
     return std::nullopt;
   }
-  m_account = m_facts.key ? m_configuration->AccountOf(*m_facts.key) : nullptr;
+  m_account =
+    m_metadata.key ? m_configuration->AccountOf(*m_metadata.key) : nullptr;
   if (m_account == nullptr && !m_route->anonymous) {
-    return OwnAnswer{ kUnauthorized, "missing or unknown API key", false };
+    return LocalReply{ kUnauthorized, "missing or unknown API key", false };
   }
   return std::nullopt;
 }
 
 void
-ForwardRun::LimitTime()
+ForwardRun::SetTimeLimit()
 {
   Duration limit = m_route->timeout;
-  if (m_facts.time_left) {
-    limit = std::min(limit, *m_facts.time_left - kWayBack);
+  if (m_metadata.time_left) {
+    limit = std::min(limit, *m_metadata.time_left - kResponseNetworkTime);
   }
-  m_until = m_session->Request().begun + limit;
-  m_deadline.Set(std::max(TimeLeft(), Duration(1)));
+  m_expires_at = m_session->Request().received_at + limit;
+  m_deadline_timer.Set(std::max(TimeLeft(), Duration(1)));
   m_history.may_repeat = m_route->repeatable;
   m_history.max_targets = m_route->max_targets;
 }
@@ -160,19 +162,19 @@
 ForwardRun::Run()
 {
   m_state.metrics.Add(Counter::kRequests);
-  m_session->OnGone([this] { Stop(); });
+  m_session->OnDisconnect([this] { CancelExchange(); });
   auto refusal = Prepare();
   if (refusal) {
-    co_await Give(std::move(*refusal));
+    co_await SendLocalReply(std::move(*refusal));
     co_return;
   }
   m_state.BudgetOf(m_service).OnRequest(core::RuntimeClock::now());
   co_await Forward();
-  m_deadline.Clear();
-  m_session->OnGone(nullptr);
-  if (m_session->IsGone()) {
+  m_deadline_timer.Clear();
+  m_session->OnDisconnect(nullptr);
+  if (m_session->IsDisconnected()) {
     m_state.metrics.Add(Counter::kCallersGone);
-    LogEnd("caller_left", 0, m_last_why);
+    LogEnd("caller_left", 0, m_last_error);
   }
 }
 
@@ -181,56 +183,56 @@
 {
   AttemptEnd last = AttemptEnd::kNotSent;
   for (;;) {
-    m_history.has_time = TimeLeft() > kLeastTime;
-    const auto target = m_history.has_time ? Choose() : nullptr;
+    m_history.has_time = TimeLeft() > kMinTimeLeft;
+    const auto target = m_history.has_time ? ChooseTarget() : nullptr;
     if (!target) {
-      if (m_last_why.empty()) {
-        m_last_why =
+      if (m_last_error.empty()) {
+        m_last_error =
           m_history.has_time ? "no target available" : "no time left";
       }
-      co_await Conclude(core::InsteadOfSending(last, m_history));
+      co_await Finish(core::InsteadOfSending(last, m_history));
       co_return;
     }
-    if (!IsBegun(*target)) {
+    if (!IsWorthSending(*target)) {
       m_last_target = target->target.id.Text();
-      co_await Conclude(NextStep::kRefuse);
+      co_await Finish(NextStep::kRefuse);
       co_return;
     }
     const bool is_repeat = m_history.sends > 0;
     if (is_repeat) {
       const auto now = core::RuntimeClock::now();
       if (!m_state.BudgetOf(m_service).TryRepeat(now)) {
-        m_last_why += ", retry budget exhausted";
-        co_await Conclude(core::InsteadOfSending(last, m_history));
+        m_last_error += ", retry budget exhausted";
+        co_await Finish(core::InsteadOfSending(last, m_history));
         co_return;
       }
       m_state.metrics.Add(m_session->HasStreamBegun() ? Counter::kResumes
                                                       : Counter::kRetries);
     }
-    const Ended ended = co_await Attempt(target);
-    if (!ended || m_session->IsGone()) {
+    const AttemptFailure ended = co_await Attempt(target);
+    if (!ended || m_session->IsDisconnected()) {
       co_return;
     }
     last = *ended;
-    Count(last);
+    RecordAttempt(last);
     const NextStep step = core::AfterAttempt(last, m_history);
     LogLine line("attempt_ended");
-    line.Add("request", m_facts.request_id)
+    line.Add("request", m_metadata.request_id)
       .Add("target", m_last_target)
       .Add("end", NameOf(last))
-      .Add("why", m_last_why)
+      .Add("why", m_last_error)
       .Add("again", step == NextStep::kSendAgain ? "yes" : "no");
     AddWeights(line);
     m_state.log.Write(line);
     if (step != NextStep::kSendAgain) {
-      co_await Conclude(step);
+      co_await Finish(step);
       co_return;
     }
   }
 }
 
 void
-ForwardRun::Count(AttemptEnd aEnd)
+ForwardRun::RecordAttempt(AttemptEnd aEnd)
 {
   if (aEnd != AttemptEnd::kNotSent) {
     ++m_history.sends;
@@ -238,74 +240,76 @@
   if (aEnd != AttemptEnd::kNotSent && aEnd != AttemptEnd::kRefused) {
     ++m_history.may_have_run;
   }
-  m_history.has_time = !m_timed_out && TimeLeft() > kLeastTime;
+  m_history.has_time = !m_timed_out && TimeLeft() > kMinTimeLeft;
 }
 
 asio::awaitable<void>
-ForwardRun::Conclude(NextStep aStep)
+ForwardRun::Finish(NextStep aStep)
 {
-  if (m_session->IsGone()) {
+  if (m_session->IsDisconnected()) {
     co_return;
   }
   if (m_session->HasStreamBegun()) {
-    LogEnd("stream_cut", 0, m_last_why);
+    LogEnd("stream_cut", 0, m_last_error);
     m_session->Abort();
     co_return;
   }
-  if (aStep == NextStep::kPassOn && m_failure) {
-    LogEnd("answered", m_failure->status, "target returned a server error");
-    WholeAnswer failure = std::move(*m_failure);
-    co_await m_session->Answer(std::move(failure));
+  if (aStep == NextStep::kPassOn && m_target_failure) {
+    LogEnd(
+      "answered", m_target_failure->status, "target returned a server error");
+    FullResponse failure = std::move(*m_target_failure);
+    co_await m_session->SendResponse(std::move(failure));
     co_return;
   }
-  OwnAnswer answer;
-  answer.why = m_last_why;
-  answer.status = kBadGateway;
+  LocalReply reply;
+  reply.message = m_last_error;
+  reply.status = kBadGateway;
   if (aStep == NextStep::kRefuse) {
-    answer.status = kUnavailable;
-    answer.may_come_back = true;
+    reply.status = kUnavailable;
+    reply.is_retryable = true;
   } else if (aStep == NextStep::kFailTimedOut) {
-    answer.status = kGatewayTimeout;
+    reply.status = kGatewayTimeout;
   }
-  co_await Give(std::move(answer));
+  co_await SendLocalReply(std::move(reply));
 }
 
 asio::awaitable<void>
-ForwardRun::Give(OwnAnswer aAnswer)
+ForwardRun::SendLocalReply(LocalReply aReply)
 {
   LogEnd(
-    aAnswer.may_come_back ? "refused" : "failed", aAnswer.status, aAnswer.why);
-  m_state.metrics.Refuse(aAnswer.may_come_back ? "refused" : "failed",
-                         aAnswer.may_come_back);
-  WholeAnswer answer;
-  answer.status = aAnswer.status;
-  answer.headers = m_state.dialect.LinesOfOwnAnswer(m_facts.request_id);
-  answer.headers.Add("Content-Type", "text/plain");
-  if (aAnswer.may_come_back) {
-    std::uniform_int_distribution<std::int64_t> spread(kComeBackFromMs,
-                                                       kComeBackToMs);
+    aReply.is_retryable ? "refused" : "failed", aReply.status, aReply.message);
+  m_state.metrics.Refuse(aReply.is_retryable ? "refused" : "failed",
+                         aReply.is_retryable);
+  FullResponse reply;
+  reply.status = aReply.status;
+  reply.headers = m_state.dialect.LinesOfOwnAnswer(m_metadata.request_id);
+  reply.headers.Add("Content-Type", "text/plain");
+  if (aReply.is_retryable) {
+    std::uniform_int_distribution<std::int64_t> spread(kRetryAfterMinMs,
+                                                       kRetryAfterMaxMs);
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-      m_until == core::Instant{} ? std::chrono::seconds(1) : TimeLeft());
-    const auto most = std::max<std::int64_t>(left.count() / kComeBackShare, 1);
+      m_expires_at == core::Instant{} ? std::chrono::seconds(1) : TimeLeft());
+    const auto most =
+      std::max<std::int64_t>(left.count() / kRetryAfterDivisor, 1);
     const auto wait = std::min(spread(m_state.random), most);
     std::string seconds = std::to_string(wait / 1000) + ".";
     const std::string digits = std::to_string(wait % 1000);
     seconds.append(3 - digits.size(), '0').append(digits);
-    answer.headers.Add("Retry-After", seconds);
+    reply.headers.Add("Retry-After", seconds);
   }
-  answer.body = std::move(aAnswer.why) + '\n';
-  co_await m_session->Answer(std::move(answer));
+  reply.body = std::move(aReply.message) + '\n';
+  co_await m_session->SendResponse(std::move(reply));
 }
 
 void
 ForwardRun::LogEnd(std::string_view aEvent,
                    unsigned aStatus,
-                   std::string_view aWhy)
+                   std::string_view aDetail)
 {
   const core::Duration took =
-    core::RuntimeClock::now() - m_session->Request().begun;
+    core::RuntimeClock::now() - m_session->Request().received_at;
   LogLine line(aEvent);
-  line.Add("request", m_facts.request_id)
+  line.Add("request", m_metadata.request_id)
     .Add("route", m_route != nullptr ? m_route->name : "-")
     .Add("status", std::uint64_t(aStatus))
     .Add("target", m_last_target)
@@ -315,8 +319,8 @@
          m_configuration ? m_configuration->Version() : std::uint64_t(0));
   AddWeights(line);
   AddPlacement(line);
-  if (!aWhy.empty()) {
-    line.Add("why", aWhy);
+  if (!aDetail.empty()) {
+    line.Add("why", aDetail);
   }
   m_state.log.Write(line);
 }
@@ -332,18 +336,18 @@
 void
 ForwardRun::AddPlacement(LogLine& aLine) const
 {
-  if (!m_facts.prompt || m_sent == core::Instant{}) {
+  if (!m_metadata.prompt || m_sent_at == core::Instant{}) {
     return;
   }
   aLine.Add("load", std::uint64_t(std::lround(m_load_at_send)))
-    .Add("prompt", m_facts.prompt->tokens)
-    .Add("transferred", m_placed.transferred)
-    .Add("anew", m_placed.anew)
-    .Add("passed_over", m_placed.passed_over)
-    .Add("kept", m_placed.kept)
-    .Add("link_wait", m_placed.link_wait);
-  if (m_first_event > m_sent) {
-    aLine.Add("first_token", m_first_event - m_sent);
+    .Add("prompt", m_metadata.prompt->tokens)
+    .Add("transferred", m_planned.transferred)
+    .Add("anew", m_planned.recomputed)
+    .Add("passed_over", m_planned.skipped)
+    .Add("kept", m_planned.to_store)
+    .Add("link_wait", m_planned.link_wait);
+  if (m_first_event_at > m_sent_at) {
+    aLine.Add("first_token", m_first_event_at - m_sent_at);
   }
 }
 
@@ -354,7 +358,7 @@
   std::vector<std::shared_ptr<FleetTarget>> all;
   std::vector<std::shared_ptr<FleetTarget>> usable;
   for (auto& target : m_state.fleet.Of(m_service)) {
-    if (m_tried.contains(target->target.id) || target->is_loading) {
+    if (m_tried_targets.contains(target->target.id) || target->is_loading) {
       continue;
     }
     if (target->health.IsUsable(now)) {
@@ -363,37 +367,39 @@
     all.push_back(std::move(target));
   }
   auto& chosen = usable.empty() ? all : usable;
-  if (!m_facts.prompt) {
+  if (!m_metadata.prompt) {
     return std::move(chosen);
   }
-  const auto wanted = m_state.wanted_weights.find(m_facts.prompt->model);
+  const auto wanted = m_state.wanted_weights.find(m_metadata.prompt->model);
   if (wanted == m_state.wanted_weights.end()) {
     return std::move(chosen);
   }
   std::vector<std::shared_ptr<FleetTarget>> newest;
   for (const auto& target : chosen) {
-    const auto version = target->VersionOf(m_facts.prompt->model).value_or(0);
+    const auto version =
+      target->VersionOf(m_metadata.prompt->model).value_or(0);
     if (version >= wanted->second.Newest()) {
       newest.push_back(target);
     }
   }
   if (!newest.empty() &&
       static_cast<double>(newest.size()) >=
-        kEnoughNewest *
+        kMinNewestShare *
           static_cast<double>(m_state.fleet.Of(m_service).size())) {
     return newest;
   }
   std::erase_if(chosen, [&](const auto& aTarget) {
-    return aTarget->VersionOf(m_facts.prompt->model).value_or(0) <
-           wanted->second.OldestAllowed(now + kOldWeightsTime);
+    return aTarget->VersionOf(m_metadata.prompt->model).value_or(0) <
+           wanted->second.OldestAllowed(now + kOldWeightsMargin);
   });
   return std::move(chosen);
 }
 
 bool
-ForwardRun::IsBegun(const FleetTarget& aTarget)
+ForwardRun::IsWorthSending(const FleetTarget& aTarget)
 {
-  if (!m_facts.prompt || m_history.sends > 0 || !m_facts.resume_after.empty()) {
+  if (!m_metadata.prompt || m_history.sends > 0 ||
+      !m_metadata.resume_after.empty()) {
     return true;
   }
   const core::Instant now = core::RuntimeClock::now();
@@ -405,12 +411,12 @@
   if (core::IsAdmitted(input)) {
     return true;
   }
-  m_last_why = "predicted wait exceeds objective: " +
-               std::to_string(input.predicted->count() / kMicrosOfMs) +
-               " ms, objective " +
-               std::to_string(input.objective.count() / kMicrosOfMs) +
-               " ms, urgency " + std::to_string(input.urgency) + ", " +
-               std::to_string(std::lround(input.waiting)) + " waiting";
+  m_last_error = "not admitted: predicted " +
+                 std::to_string(input.predicted->count() / kMicrosPerMs) +
+                 " ms, objective " +
+                 std::to_string(input.objective.count() / kMicrosPerMs) +
+                 " ms, urgency " + std::to_string(input.urgency) + ", " +
+                 std::to_string(std::lround(input.waiting)) + " waiting";
   return false;
 }
 
@@ -422,24 +428,24 @@
 }
 
 std::optional<core::DataCentreId>
-ForwardRun::StorePlace(
+ForwardRun::PreferredDataCentre(
   std::span<const std::shared_ptr<FleetTarget>> aTargets) const
 {
-  if (!m_facts.prompt || aTargets.empty()) {
+  if (!m_metadata.prompt || aTargets.empty()) {
     return std::nullopt;
   }
   std::uint64_t newest = 0;
   for (const auto& target : aTargets) {
-    const auto version = target->VersionOf(m_facts.prompt->model);
+    const auto version = target->VersionOf(m_metadata.prompt->model);
     newest = std::max(newest, version.value_or(0));
   }
-  return StorePlaceOf(m_state, *m_facts.prompt, ScopeOn(newest), m_service);
+  return StorePlaceOf(m_state, *m_metadata.prompt, ScopeFor(newest), m_service);
 }
 
 core::CacheScope
-ForwardRun::ScopeOn(std::uint64_t aWeightVersion) const
+ForwardRun::ScopeFor(std::uint64_t aWeightVersion) const
 {
-  core::CacheScope scope{ m_facts.prompt->model, aWeightVersion, {} };
+  core::CacheScope scope{ m_metadata.prompt->model, aWeightVersion, {} };
   if (m_account != nullptr && m_account->dedicated) {
     scope.account = m_account->id;
   }
@@ -447,32 +453,32 @@
 }
 
 std::shared_ptr<FleetTarget>
-ForwardRun::Choose()
+ForwardRun::ChooseTarget()
 {
   const core::Instant now = core::RuntimeClock::now();
   const auto targets = Candidates();
   std::vector<core::PlacementCandidate> candidates;
   candidates.reserve(targets.size());
-  const auto store_place = StorePlace(targets);
+  const auto preferred = PreferredDataCentre(targets);
   double own = 0;
   double all = 0;
   for (const auto& target : targets) {
-    const core::DataCentreId& place = target->target.data_centre;
+    const core::DataCentreId& target_data_centre = target->target.data_centre;
     core::PlacementCandidate candidate;
     candidate.name_hash = target->name_hash;
     candidate.load = target->load.Requests(now);
-    candidate.is_near = place == m_state.options.data_centre;
-    candidate.is_at_store = store_place && place == *store_place;
+    candidate.is_near = target_data_centre == m_state.options.data_centre;
+    candidate.is_at_store = preferred && target_data_centre == *preferred;
     own += target->load.Own();
     all += candidate.load;
     candidates.push_back(candidate);
   }
   m_state.shares[m_service].OnLook(own, all);
-  const bool has_home = m_facts.prompt && !m_facts.prompt->parts.empty();
+  const bool has_home = m_metadata.prompt && !m_metadata.prompt->parts.empty();
   const auto index =
     has_home
-      ? core::PlacePrompt(core::PlacementHash(m_facts.prompt->ReturningPart()),
-                          candidates)
+      ? core::PlacePrompt(
+          core::PlacementHash(m_metadata.prompt->ReturningPart()), candidates)
       : core::PlaceCall(m_state.random(), candidates);
   return index ? targets[*index] : nullptr;
 }
--- a/src/jujubehead/node/forward/forward_run.hpp
+++ b/src/jujubehead/node/forward/forward_run.hpp
@@ -17,7 +17,7 @@
 
 #include "caller_session.hpp"  // for CallerSession
 #include "forward_state.hpp"   // for ForwardState
-#include "part_places.hpp"     // for PlacedTokens
+#include "part_places.hpp"     // for PlannedTokens
 #include "target_exchange.hpp" // for TargetExchange
 
 namespace jujubehead::node {
@@ -35,65 +35,71 @@
 private:
   /// How an attempt failed; nothing when the final response was sent or the
   /// caller has disconnected.
-  using Ended = std::optional<core::AttemptEnd>;
+  using AttemptFailure = std::optional<core::AttemptEnd>;
 
-  struct OwnAnswer
+  struct LocalReply
   {
     unsigned status = 0;
-    std::string why;
-    bool may_come_back = false;
+    std::string message;
+    bool is_retryable = false;
   };
 
-  std::optional<OwnAnswer> Prepare();
-  std::optional<OwnAnswer> Identify();
-  void LimitTime();
+  std::optional<LocalReply> Prepare();
+  std::optional<LocalReply> Identify();
+  void SetTimeLimit();
   boost::asio::awaitable<void> Forward();
-  boost::asio::awaitable<void> Conclude(core::NextStep aStep);
-  boost::asio::awaitable<void> Give(OwnAnswer aAnswer);
+  boost::asio::awaitable<void> Finish(core::NextStep aStep);
+  boost::asio::awaitable<void> SendLocalReply(LocalReply aReply);
 
   /// @return whether the request would probably meet its objective there.
-  [[nodiscard]] bool IsBegun(const FleetTarget& aTarget);
+  [[nodiscard]] bool IsWorthSending(const FleetTarget& aTarget);
   [[nodiscard]] std::uint32_t Urgency() const;
-  [[nodiscard]] std::shared_ptr<FleetTarget> Choose();
+  [[nodiscard]] std::shared_ptr<FleetTarget> ChooseTarget();
   [[nodiscard]] std::vector<std::shared_ptr<FleetTarget>> Candidates() const;
-  [[nodiscard]] TargetCall CallFor(const FleetTarget& aTarget);
+  [[nodiscard]] TargetCall BuildCall(const FleetTarget& aTarget);
   /// @return the scope that shares the prompt's parts at a weight version.
-  [[nodiscard]] core::CacheScope ScopeOn(std::uint64_t aWeightVersion) const;
+  [[nodiscard]] core::CacheScope ScopeFor(std::uint64_t aWeightVersion) const;
   /// @return the data centre that placement prefers for the prompt, if any.
-  [[nodiscard]] std::optional<core::DataCentreId> StorePlace(
+  [[nodiscard]] std::optional<core::DataCentreId> PreferredDataCentre(
     std::span<const std::shared_ptr<FleetTarget>> aTargets) const;
 
-  boost::asio::awaitable<Ended> Attempt(std::shared_ptr<FleetTarget> aTarget);
-  boost::asio::awaitable<Ended> Exchange(FleetTarget& aTarget,
-                                         TargetExchange& aExchange);
-  boost::asio::awaitable<Ended> PassWhole(FleetTarget& aTarget,
-                                          TargetExchange& aExchange,
-                                          ReplyPart aPart);
-  boost::asio::awaitable<Ended> PassStream(FleetTarget& aTarget,
-                                           TargetExchange& aExchange,
-                                           ReplyPart aPart);
-  Ended EndBroken(FleetTarget& aTarget, const TargetExchange& aExchange);
-  Ended EndRefused(FleetTarget& aTarget,
-                   unsigned aStatus,
-                   const ReplyFacts& aFacts);
+  boost::asio::awaitable<AttemptFailure> Attempt(
+    std::shared_ptr<FleetTarget> aTarget);
+  boost::asio::awaitable<AttemptFailure> Exchange(FleetTarget& aTarget,
+                                                  TargetExchange& aExchange);
+  boost::asio::awaitable<AttemptFailure> RelayBuffered(
+    FleetTarget& aTarget,
+    TargetExchange& aExchange,
+    ReadResult aResult);
+  boost::asio::awaitable<AttemptFailure> RelayStream(FleetTarget& aTarget,
+                                                     TargetExchange& aExchange,
+                                                     ReadResult aResult);
+  AttemptFailure OnBrokenReply(FleetTarget& aTarget,
+                               const TargetExchange& aExchange);
+  AttemptFailure OnRefusal(FleetTarget& aTarget,
+                           unsigned aStatus,
+                           const ReplyFacts& aMetadata);
   /// @brief Reports to other instances that the target has left its address.
-  void ReportGone(const FleetTarget& aTarget);
-  void NoteReply(FleetTarget& aTarget, const ReplyFacts& aFacts);
-  void Count(core::AttemptEnd aEnd);
-  void SetPatience(const FleetTarget& aTarget);
-  void LosePatience();
+  void PublishGone(const FleetTarget& aTarget);
+  void RecordReply(FleetTarget& aTarget, const ReplyFacts& aMetadata);
+  void RecordAttempt(core::AttemptEnd aEnd);
+  void StartSilenceTimer(const FleetTarget& aTarget);
+  void OnSilenceTimeout();
   /// @return the time until no request may start on a target's weights. The
   /// target enforces it, as this instance may have exited by then.
-  [[nodiscard]] core::Duration TimeOnWeights(const TargetCall& aCall) const;
-  void Stop();
-  void LogEnd(std::string_view aEvent, unsigned aStatus, std::string_view aWhy);
+  [[nodiscard]] core::Duration TimeUntilWeightsExpire(
+    const TargetCall& aCall) const;
+  void CancelExchange();
+  void LogEnd(std::string_view aEvent,
+              unsigned aStatus,
+              std::string_view aDetail);
   void AddWeights(LogLine& aLine) const;
   void AddPlacement(LogLine& aLine) const;
 
   [[nodiscard]] core::Duration TimeLeft() const;
-  [[nodiscard]] bool IsOver() const
+  [[nodiscard]] bool IsCancelled() const
   {
-    return m_timed_out || m_session->IsGone();
+    return m_timed_out || m_session->IsDisconnected();
   }
 
   ForwardState& m_state;
@@ -102,30 +108,31 @@
   const core::Route* m_route = nullptr;
   const core::DeclaredAccount* m_account = nullptr;
   core::ServiceId m_service;
-  CallerFacts m_facts;
-  core::Instant m_until{};
+  CallerFacts m_metadata;
+  core::Instant m_expires_at{};
   core::AttemptHistory m_history;
-  std::set<core::TargetId> m_tried;
+  std::set<core::TargetId> m_tried_targets;
   net::EventCutter m_cutter;
-  std::optional<WholeAnswer> m_failure; ///< Sent if no attempt succeeds.
-  core::Instant m_first_event{};
-  core::Instant m_sent{};    ///< Current attempt.
-  PlacedTokens m_placed;     ///< Current attempt.
+  std::optional<FullResponse>
+    m_target_failure; ///< Sent if no attempt succeeds.
+  core::Instant m_first_event_at{};
+  core::Instant m_sent_at{}; ///< Current attempt.
+  PlannedTokens m_planned;   ///< Current attempt.
   double m_load_at_send = 0; ///< Requests at the target at m_sent_at.
-  std::string m_last_why;
+  std::string m_last_error;
   std::string m_last_target;
   /// Expected weight version of the last target.
   std::optional<std::uint64_t> m_last_weights;
 
-  net::Deadline m_deadline;
-  net::Deadline m_patience;
+  net::Deadline m_deadline_timer;
+  net::Deadline m_silence_timer;
 
   TargetExchange* m_exchange = nullptr; ///< In progress.
-  std::shared_ptr<FleetTarget> m_waits_for;
-  core::Instant m_waits_since{};
+  std::shared_ptr<FleetTarget> m_awaited_target;
+  core::Instant m_awaiting_since{};
   bool m_timed_out = false;
-  bool m_lost_patience = false; ///< In the current attempt.
-  bool m_is_streaming = false;  ///< Counted in the target's active_streams.
+  bool m_silence_timed_out = false; ///< In the current attempt.
+  bool m_is_streaming = false;      ///< Counted in the target's active_streams.
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/forward_state.hpp
+++ b/src/jujubehead/node/forward/forward_state.hpp
@@ -55,8 +55,8 @@
   std::shared_ptr<const core::Configuration> configuration;
   std::map<core::ModelId, core::WantedWeights> wanted_weights;
   TargetFleet fleet;
-  bool tells_loads = false;   ///< Whether other instances ask for loads.
-  core::LoadNews heard_loads; ///< Not sent to them yet.
+  bool shares_loads = false; ///< Whether other instances ask for loads.
+  core::LoadNews pending_load_reports; ///< Not sent to them yet.
   core::PartDirectory parts;
   std::unordered_map<core::ServiceId, core::RepeatBudget> budgets;
   /// By route name.
@@ -71,7 +71,7 @@
   TargetClock target_clock;
   core::Instant operator_heard{}; ///< Last read of the operator's rows.
   bool is_stopping = false;
-  core::Instant ends_at =
+  core::Instant exits_at =
     core::Instant::max(); ///< When a stopping instance exits.
 };
 
--- a/src/jujubehead/node/forward/forwarder.cpp
+++ b/src/jujubehead/node/forward/forwarder.cpp
@@ -29,7 +29,7 @@
                      Metrics& aMetrics)
   : m_state(aOptions, aDialect, aMetrics.ForThread(), m_log)
   , m_acceptor(m_context, ReadEndpoint(aOptions.caller_address))
-  , m_work(asio::make_work_guard(m_context))
+  , m_work_guard(asio::make_work_guard(m_context))
 {
 }
 
@@ -51,7 +51,7 @@
 void
 Forwarder::Stop()
 {
-  m_work.reset();
+  m_work_guard.reset();
   m_context.stop();
   if (m_thread.joinable()) {
     m_thread.join();
@@ -66,7 +66,7 @@
   m_acceptor.close(ignored);
   const std::set<CallerSession*> open = m_sessions;
   for (CallerSession* session : open) {
-    session->Abandon();
+    session->Cancel();
   }
   m_context.restart();
   m_context.poll();
@@ -79,11 +79,11 @@
 }
 
 void
-Forwarder::BeginStop(core::Instant aEndsAt)
+Forwarder::BeginStop(core::Instant aExitsAt)
 {
-  asio::post(m_context, [this, aEndsAt] {
+  asio::post(m_context, [this, aExitsAt] {
     m_state.is_stopping = true;
-    m_state.ends_at = aEndsAt;
+    m_state.exits_at = aExitsAt;
   });
 }
 
@@ -159,12 +159,12 @@
 }
 
 void
-Forwarder::OnUnreadable(const std::string& aWhy, unsigned aStatus)
+Forwarder::OnRejected(const std::string& aDetail, unsigned aStatus)
 {
   m_state.metrics.Add(Counter::kBadRequests);
   m_log.Write(LogLine("unreadable")
                 .Add("status", std::uint64_t(aStatus))
-                .Add("why", aWhy));
+                .Add("why", aDetail));
 }
 
 void
@@ -243,20 +243,21 @@
 
 void
 Forwarder::ExchangeLoads(
-  std::vector<core::HeardLoad> aTold,
-  std::function<void(std::vector<core::HeardLoad>)> aGive)
+  std::vector<core::HeardLoad> aReports,
+  std::function<void(std::vector<core::HeardLoad>)> aOnPending)
 {
-  asio::post(m_context,
-             [this, told = std::move(aTold), give = std::move(aGive)] {
-               const core::Instant now = core::RuntimeClock::now();
-               for (const core::HeardLoad& one : told) {
-                 if (const auto target = m_state.fleet.FindByKey(one.target)) {
-                   target->OnReport(one, now);
-                 }
-               }
-               m_state.tells_loads = true;
-               give(m_state.heard_loads.TakeBusiest(now));
-             });
+  asio::post(
+    m_context,
+    [this, reports = std::move(aReports), on_pending = std::move(aOnPending)] {
+      const core::Instant now = core::RuntimeClock::now();
+      for (const core::HeardLoad& report : reports) {
+        if (const auto target = m_state.fleet.FindByKey(report.target)) {
+          target->OnReport(report, now);
+        }
+      }
+      m_state.shares_loads = true;
+      on_pending(m_state.pending_load_reports.TakeBusiest(now));
+    });
 }
 
 void
--- a/src/jujubehead/node/forward/forwarder.hpp
+++ b/src/jujubehead/node/forward/forwarder.hpp
@@ -43,8 +43,8 @@
   /// @brief Ends the thread; open requests are aborted.
   void Stop();
   /// @brief From now on, connections are closed after their next response.
-  /// @param aEndsAt latest exit time of the instance.
-  void BeginStop(core::Instant aEndsAt);
+  /// @param aExitsAt latest exit time of the instance.
+  void BeginStop(core::Instant aExitsAt);
   /// @brief Closes the connections without a request in progress.
   void CloseIdle();
   [[nodiscard]] std::size_t Sessions() const { return m_session_count; }
@@ -64,9 +64,10 @@
   void ForgetParts(core::SupersededScopes aScopes);
   /// @brief Applies load reports of other instances and passes on those that
   /// this one collected since the last call.
-  /// @param aGive called on the traffic thread.
-  void ExchangeLoads(std::vector<core::HeardLoad> aTold,
-                     std::function<void(std::vector<core::HeardLoad>)> aGive);
+  /// @param aOnPending called on the traffic thread.
+  void ExchangeLoads(
+    std::vector<core::HeardLoad> aReports,
+    std::function<void(std::vector<core::HeardLoad>)> aOnPending);
   void OnStoreSilent(core::StoreId aStore);
   void OnOperatorHeard(core::Instant aWhen);
 
@@ -76,7 +77,7 @@
   [[nodiscard]] bool IsStopping() const override;
   void OnSessionBegin(CallerSession& aSession) override;
   void OnSessionEnd(CallerSession& aSession) override;
-  void OnUnreadable(const std::string& aWhy, unsigned aStatus) override;
+  void OnRejected(const std::string& aDetail, unsigned aStatus) override;
 
 private:
   /// Ends all coroutines while the objects that they refer to still exist.
@@ -88,7 +89,7 @@
   ForwardState m_state;
   boost::asio::ip::tcp::acceptor m_acceptor;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-    m_work;
+    m_work_guard;
   std::atomic<std::size_t> m_open_requests{ 0 };
   std::set<CallerSession*> m_sessions;
   std::atomic<std::size_t> m_session_count{ 0 };
--- a/src/jujubehead/node/forward/part_places.cpp
+++ b/src/jujubehead/node/forward/part_places.cpp
@@ -7,29 +7,29 @@
 #include "jujubehead/core/routing/placement.hpp" // for WeightedHome
 
 #include "../reading_times.hpp" // for kHearTime, kReadTime
-#include "store_look.hpp"       // for StoreLook
+#include "store_look.hpp"       // for StoreLookup
 
 namespace jujubehead::node {
 
 namespace {
 
 /// A target that responded within this time counts as alive.
-constexpr core::Duration kHomeSpoke = std::chrono::milliseconds(1500);
+constexpr core::Duration kHomeResponseMaxAge = std::chrono::milliseconds(1500);
 /// Uses per second, over all instances, from which a part is also stored in the
 /// fastest store of each data centre, so that reads avoid slow links.
-constexpr double kHotUses = 1.0;
+constexpr double kHotUsesPerSecond = 1.0;
 /// Extra time to read a part from another data centre from which its prompt is
 /// placed near the store. For shorter times, concentrating prompts on few
 /// targets costs more in queueing than it saves on the link.
-constexpr core::Duration kNotablyLonger = std::chrono::milliseconds(30);
+constexpr core::Duration kMinReadTimeSaving = std::chrono::milliseconds(30);
 
 /// Whether a target is probably alive. With many instances, each one seldom
 /// gets a response from a given target; a target that is usable and has no
 /// request outstanding here counts as alive too.
 bool
-IsThere(const FleetTarget& aTarget, core::Instant aNow)
+IsProbablyAlive(const FleetTarget& aTarget, core::Instant aNow)
 {
-  if (aNow - aTarget.last_heard <= kHomeSpoke) {
+  if (aNow - aTarget.last_response_at <= kHomeResponseMaxAge) {
     return true;
   }
   return aTarget.load.Own() == 0 && aTarget.health.IsUsable(aNow);
@@ -56,53 +56,54 @@
 }
 
 /// Plans the transfers of one prompt's parts for one target.
-class PartPlacer
+class TransferPlanner
 {
 public:
-  PartPlacer(ForwardState& aState,
-             const FleetTarget& aTarget,
-             core::Duration aObjective,
-             TargetCall& aCall)
+  TransferPlanner(ForwardState& aState,
+                  const FleetTarget& aTarget,
+                  core::Duration aObjective,
+                  TargetCall& aCall)
     : m_state(aState)
     , m_data_centre(aTarget.target.data_centre)
     , m_objective(aObjective)
     , m_call(aCall)
-    , m_look(aState, aCall.cache_scope, aTarget.target.service)
+    , m_lookup(aState, aCall.cache_scope, aTarget.target.service)
     , m_share(aState.shares[aTarget.target.service].Value())
     , m_now(core::RuntimeClock::now())
   {
   }
 
-  void Place(const core::PromptPart& aPart, std::size_t aIndex)
+  void Plan(const core::PromptPart& aPart, std::size_t aIndex)
   {
-    const core::DeclaredStore* quickest = QuickestIfHot(aPart);
-    if (quickest != nullptr && m_look.Has(*quickest, aPart)) {
-      ReadOrPassOver(*quickest, aPart, aIndex);
+    const core::DeclaredStore* fastest = FastestStoreIfHot(aPart);
+    if (fastest != nullptr && m_lookup.HasPart(*fastest, aPart)) {
+      ReadOrSkip(*fastest, aPart, aIndex);
       return;
     }
-    const PartHome home = m_look.Home(aPart, m_data_centre);
-    if (quickest != nullptr && m_look.HasRoom(*quickest, aPart)) {
-      Keep(*quickest, aPart, aIndex);
+    const PartHome home = m_lookup.FindHome(aPart, m_data_centre);
+    if (fastest != nullptr && m_lookup.HasRoom(*fastest, aPart)) {
+      PlanWrite(*fastest, aPart, aIndex);
     } else if (home.store != nullptr && !home.has_part) {
-      Keep(*home.store, aPart, aIndex);
+      PlanWrite(*home.store, aPart, aIndex);
     }
     if (home.has_part) {
-      ReadOrPassOver(*home.store, aPart, aIndex);
+      ReadOrSkip(*home.store, aPart, aIndex);
     } else {
-      m_placed.anew += aPart.tokens;
+      m_planned.recomputed += aPart.tokens;
     }
   }
 
-  [[nodiscard]] const PlacedTokens& Placed() const { return m_placed; }
+  [[nodiscard]] const PlannedTokens& Planned() const { return m_planned; }
 
 private:
   /// @return the fastest store of this data centre if the part is frequently
   /// used; null otherwise.
-  const core::DeclaredStore* QuickestIfHot(const core::PromptPart& aPart)
+  const core::DeclaredStore* FastestStoreIfHot(const core::PromptPart& aPart)
   {
     const double uses = m_state.part_uses.OnUse(aPart.id, m_now);
-    return uses >= kHotUses * m_share ? m_look.Quickest(aPart, m_data_centre)
-                                      : nullptr;
+    return uses >= kHotUsesPerSecond * m_share
+             ? m_lookup.FastestStore(aPart, m_data_centre)
+             : nullptr;
   }
 
   /// A possible transfer.
@@ -117,62 +118,65 @@
   Transfer TransferOf(const core::DeclaredStore& aStore,
                       const core::PromptPart& aPart)
   {
-    Transfer transfer{ m_state.links[StoreLook::RateOf(aStore)], 0, {}, {} };
-    transfer.share = m_share * static_cast<double>(m_look.Alike(aStore));
-    transfer.link_time = m_look.LinkTime(aStore, aPart, m_data_centre);
+    Transfer transfer{
+      m_state.links[StoreLookup::LinkRateOf(aStore)], 0, {}, {}
+    };
+    transfer.share =
+      m_share * static_cast<double>(m_lookup.CountWithSameLink(aStore));
+    transfer.link_time = m_lookup.LinkTime(aStore, aPart, m_data_centre);
     transfer.offer.wait = transfer.links.Wait(transfer.share, m_now);
     transfer.offer.transfer = transfer.link_time + aStore.first_delay;
     transfer.offer.objective = m_objective;
-    m_placed.link_wait = std::max(m_placed.link_wait, transfer.offer.wait);
+    m_planned.link_wait = std::max(m_planned.link_wait, transfer.offer.wait);
     return transfer;
   }
 
-  void Order(const Transfer& aTransfer)
+  void Reserve(const Transfer& aTransfer)
   {
     aTransfer.links.Add(aTransfer.link_time, aTransfer.share, m_now);
   }
 
-  void ReadOrPassOver(const core::DeclaredStore& aStore,
-                      const core::PromptPart& aPart,
-                      std::size_t aIndex)
+  void ReadOrSkip(const core::DeclaredStore& aStore,
+                  const core::PromptPart& aPart,
+                  std::size_t aIndex)
   {
     const Transfer transfer = TransferOf(aStore, aPart);
     if (!core::IsWorthReading(transfer.offer)) {
-      m_placed.passed_over += aPart.tokens;
-      m_placed.anew += aPart.tokens;
+      m_planned.skipped += aPart.tokens;
+      m_planned.recomputed += aPart.tokens;
       return;
     }
     m_call.read_from[aIndex] = { aStore.address, aPart.tokens };
-    m_placed.transferred += aPart.tokens;
-    Order(transfer);
+    m_planned.transferred += aPart.tokens;
+    Reserve(transfer);
   }
 
-  void Keep(const core::DeclaredStore& aStore,
-            const core::PromptPart& aPart,
-            std::size_t aIndex)
+  void PlanWrite(const core::DeclaredStore& aStore,
+                 const core::PromptPart& aPart,
+                 std::size_t aIndex)
   {
     const Transfer transfer = TransferOf(aStore, aPart);
     if (!core::IsWorthKeeping(transfer.offer)) {
       return;
     }
     m_call.keep_at[aIndex] = { aStore.address, aPart.tokens };
-    m_placed.kept += aPart.tokens;
-    Order(transfer);
+    m_planned.to_store += aPart.tokens;
+    Reserve(transfer);
   }
 
   ForwardState& m_state;
   const core::DataCentreId& m_data_centre; ///< Of the target.
   core::Duration m_objective;
   TargetCall& m_call;
-  StoreLook m_look;
+  StoreLookup m_lookup;
   double m_share;
   core::Instant m_now;
-  PlacedTokens m_placed;
+  PlannedTokens m_planned;
 };
 
 } // namespace
 
-PlacedTokens
+PlannedTokens
 PlaceParts(ForwardState& aState,
            const core::Prompt& aPrompt,
            const core::CacheScope& aScope,
@@ -189,11 +193,11 @@
   aCall.read_until_ms = read_until;
   aCall.read_from.resize(aPrompt.parts.size());
   aCall.keep_at.resize(aPrompt.parts.size());
-  PartPlacer placer(aState, aTarget, aObjective, aCall);
+  TransferPlanner planner(aState, aTarget, aObjective, aCall);
   for (std::size_t i = 0; i + 1 < aPrompt.parts.size(); ++i) {
-    placer.Place(aPrompt.parts[i], i);
+    planner.Plan(aPrompt.parts[i], i);
   }
-  return placer.Placed();
+  return planner.Planned();
 }
 
 std::optional<core::DataCentreId>
@@ -206,24 +210,26 @@
     return std::nullopt;
   }
   const std::string scope = core::ToText(aScope);
-  const StoreLook look(aState, scope, aService);
+  const StoreLookup lookup(aState, scope, aService);
   const core::PromptPart& part = aPrompt.parts[aPrompt.parts.size() - 2];
-  const core::DataCentreId elsewhere;
-  const PartHome home = look.Home(part, elsewhere);
+  const core::DataCentreId other_data_centre;
+  const PartHome home = lookup.FindHome(part, other_data_centre);
   if (!home.has_part) {
     return std::nullopt;
   }
-  const core::DataCentreId& place = home.store->data_centre;
-  const core::Duration longer = look.LinkTime(*home.store, part, elsewhere) -
-                                look.LinkTime(*home.store, part, place);
-  return longer >= kNotablyLonger ? std::optional(place) : std::nullopt;
+  const core::DataCentreId& store_data_centre = home.store->data_centre;
+  const core::Duration time_saving =
+    lookup.LinkTime(*home.store, part, other_data_centre) -
+    lookup.LinkTime(*home.store, part, store_data_centre);
+  return time_saving >= kMinReadTimeSaving ? std::optional(store_data_centre)
+                                           : std::nullopt;
 }
 
 void
-ReadFromHome(const ForwardState& aState,
-             const core::Prompt& aPrompt,
-             const FleetTarget& aTarget,
-             TargetCall& aCall)
+ReadFromHomeTarget(const ForwardState& aState,
+                   const core::Prompt& aPrompt,
+                   const FleetTarget& aTarget,
+                   TargetCall& aCall)
 {
   const core::Instant now = core::RuntimeClock::now();
   const auto targets = aState.fleet.Of(aTarget.target.service);
@@ -240,7 +246,7 @@
     return;
   }
   const FleetTarget& home = *targets[*index];
-  if (!IsThere(home, now) || home.is_loading ||
+  if (!IsProbablyAlive(home, now) || home.is_loading ||
       home.VersionOf(aPrompt.model) != aCall.weight_version) {
     return;
   }
--- a/src/jujubehead/node/forward/part_places.hpp
+++ b/src/jujubehead/node/forward/part_places.hpp
@@ -13,13 +13,12 @@
 namespace jujubehead::node {
 
 /// @brief Planned handling of the shareable parts of a prompt, in tokens.
-struct PlacedTokens
+struct PlannedTokens
 {
   std::uint64_t transferred = 0; ///< Read from a store.
-  std::uint64_t anew = 0;        ///< Not read from a store.
-  std::uint64_t passed_over =
-    0;                    ///< Of `recomputed`: stored, but the link is busy.
-  std::uint64_t kept = 0; ///< Of `recomputed`: to be written to a store.
+  std::uint64_t recomputed = 0;  ///< Not read from a store.
+  std::uint64_t skipped = 0; ///< Of `recomputed`: stored, but the link is busy.
+  std::uint64_t to_store = 0; ///< Of `recomputed`: to be written to a store.
   core::Duration link_wait{}; ///< Longest expected wait for a link.
 };
 
@@ -32,7 +31,7 @@
 /// operator, which may replace them, is out of contact.
 /// Planned transfers count as load on the store's link from then on.
 /// @param aObjective of the request, to its first token.
-PlacedTokens
+PlannedTokens
 PlaceParts(ForwardState& aState,
            const core::Prompt& aPrompt,
            const core::CacheScope& aScope,
@@ -54,10 +53,10 @@
 /// usually computed them. Only a target that is probably alive and has the same
 /// weights is used, since a dead one costs a time-out.
 void
-ReadFromHome(const ForwardState& aState,
-             const core::Prompt& aPrompt,
-             const FleetTarget& aTarget,
-             TargetCall& aCall);
+ReadFromHomeTarget(const ForwardState& aState,
+                   const core::Prompt& aPrompt,
+                   const FleetTarget& aTarget,
+                   TargetCall& aCall);
 
 } // namespace jujubehead::node
 
--- a/src/jujubehead/node/forward/part_places_test.cpp
+++ b/src/jujubehead/node/forward/part_places_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Places are decided without any header line.
-class NoDialect : public Dialect
+/// Planning transfers uses no header lines.
+class NoHeaders : public Dialect
 {
 public:
   [[nodiscard]] core::Checked<CallerFacts> ReadCaller(
@@ -64,7 +64,7 @@
 TEST_GROUP(PartPlaces)
 {
   EntryOptions options;
-  NoDialect dialect;
+  NoHeaders dialect;
   std::unique_ptr<Metrics> metrics = Metrics::Create();
   DecisionLog log;
   ForwardState state{ options, dialect, metrics->ForThread(), log };
@@ -93,33 +93,33 @@
     state.operator_heard = now;
     state.target_clock.OnReading(5000, now);
     call.cache_scope = core::ToText(kScope);
-    Tell({});
+    ReportEvents({});
   }
-  void Tell(std::vector<core::PartEvent> aEvents)
+  void ReportEvents(std::vector<core::PartEvent> aEvents)
   {
     core::PartEventPage page;
     page.epoch = 1;
     page.events = std::move(aEvents);
     state.parts.OnPage(kStore, page, core::RuntimeClock::now());
   }
-  void TellWhole()
+  void ReportCompletePart()
   {
-    Tell({ { core::ToText(kScope), "b", 900, true } });
+    ReportEvents({ { core::ToText(kScope), "b", 900, true } });
   }
-  PlacedTokens Place()
+  PlannedTokens Plan()
   {
     return PlaceParts(state, prompt, kScope, target, kObjective, call);
   }
   bool Reads()
   {
-    Place();
+    Plan();
     return call.read_from.size() > 1 && !call.read_from[1].address.empty();
   }
 };
 
-TEST(PartPlaces, AWholePartIsReadAndOthersButTheLastAreKept)
+TEST(PartPlaces, ReadsCompletePartAndStoresMissingOnesExceptTheLast)
 {
-  TellWhole();
+  ReportCompletePart();
   CHECK(Reads());
   STRCMP_EQUAL("10.0.0.1:80", call.keep_at[0].address.c_str());
   CHECK(call.keep_at[1].address.empty());
@@ -128,51 +128,51 @@
   CHECK(*call.read_until_ms >= 5000 + 2900);
 }
 
-TEST(PartPlaces, APartOfFewerTokensIsNotRead)
+TEST(PartPlaces, DoesNotReadPartWithFewerTokens)
 {
-  Tell({ { core::ToText(kScope), "b", 899, true } });
+  ReportEvents({ { core::ToText(kScope), "b", 899, true } });
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, NothingIsReadWhileTheOperatorIsNotHeard)
+TEST(PartPlaces, DoesNotReadWithoutOperatorContact)
 {
-  TellWhole();
+  ReportCompletePart();
   state.operator_heard = now - std::chrono::seconds(2);
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, NothingIsReadForWeightsThatAreBeingReplaced)
+TEST(PartPlaces, DoesNotReadForWeightsBeingReplaced)
 {
-  TellWhole();
+  ReportCompletePart();
   state.wanted_weights[core::ModelId("m1")].Add(3, core::Instant::max());
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, NothingIsReadWithoutTheTargetsClock)
+TEST(PartPlaces, DoesNotReadWithoutTargetClock)
 {
-  TellWhole();
+  ReportCompletePart();
   state.target_clock = {};
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, ASilentStoreIsNeitherReadNorFilled)
+TEST(PartPlaces, DoesNotUseUnreachableStore)
 {
-  TellWhole();
+  ReportCompletePart();
   state.parts.OnSilence(kStore);
   CHECK_FALSE(Reads());
   CHECK(call.keep_at[0].address.empty());
 }
 
-TEST(PartPlaces, AFullStoreIsNotFilledFurther)
+TEST(PartPlaces, DoesNotWriteToFullStore)
 {
-  Tell({ { core::ToText(kScope), "x", 99950, true } });
-  Place();
+  ReportEvents({ { core::ToText(kScope), "x", 99950, true } });
+  Plan();
   CHECK(call.keep_at[0].address.empty());
 }
 
-// 900 tokens of 100 kB over 0.5 GB/s take 180 ms, of the whole link; an
-// instance with a tenth of the traffic has them over in 1.8 s.
-TEST(PartPlaces, AStoreWhoseLinkIsBusyIsPassedOver)
+// 900 tokens of 100 kB take 180 ms on a 0.5 GB/s link; at a tenth of the link,
+// an instance's share here, they take 1.8 s.
+TEST(PartPlaces, SkipsStoreWithBusyLink)
 {
   core::DeclaredStore store{
     kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000
@@ -183,17 +183,17 @@
   for (int i = 0; i < 1000; ++i) {
     state.shares[core::ServiceId("models")].OnLook(1, 10);
   }
-  Tell({ { core::ToText(kScope), "a", 100, true },
-         { core::ToText(kScope), "b", 900, true } });
-  LONGS_EQUAL(1000, Place().transferred);
+  ReportEvents({ { core::ToText(kScope), "a", 100, true },
+                 { core::ToText(kScope), "b", 900, true } });
+  LONGS_EQUAL(1000, Plan().transferred);
   call.read_from.clear();
-  const PlacedTokens placed = Place();
-  LONGS_EQUAL(0, placed.transferred);
-  LONGS_EQUAL(1000, placed.passed_over);
+  const PlannedTokens planned = Plan();
+  LONGS_EQUAL(0, planned.transferred);
+  LONGS_EQUAL(1000, planned.skipped);
   CHECK(call.read_from[1].address.empty());
 }
 
-TEST(PartPlaces, APartThatManyUseIsKeptInEachDataCentre)
+TEST(PartPlaces, StoresHotPartInEachDataCentre)
 {
   const core::StoreId other("s2");
   Declare({ { kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000 },
@@ -202,16 +202,16 @@
   core::PartEventPage page;
   page.epoch = 1;
   state.parts.OnPage(other, page, core::RuntimeClock::now());
-  TellWhole();
+  ReportCompletePart();
   CHECK(Reads());
   CHECK(call.keep_at[1].address.empty());
   for (int i = 0; i < 20; ++i) {
-    Place();
+    Plan();
   }
   STRCMP_EQUAL("10.0.0.2:80", call.keep_at[1].address.c_str());
 }
 
-TEST(PartPlaces, AWholePartDrawsItsPromptOnlyIfItIsLong)
+TEST(PartPlaces, PrefersDataCentreOfStoreOnlyForLongTransfer)
 {
   core::DeclaredStore store{
     kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000
@@ -220,14 +220,14 @@
   Declare({ store });
   const core::ServiceId models("models");
   CHECK_FALSE(StorePlaceOf(state, prompt, kScope, models).has_value());
-  TellWhole();
+  ReportCompletePart();
   CHECK(StorePlaceOf(state, prompt, kScope, models) == core::DataCentreId("d"));
   store.bytes_per_second = 1e10;
   Declare({ store });
   CHECK_FALSE(StorePlaceOf(state, prompt, kScope, models).has_value());
 }
 
-TEST(PartPlaces, OnlyALivelyHomeWithTheSameWeightsIsRead)
+TEST(PartPlaces, ReadsOnlyFromLiveHomeTargetWithSameWeights)
 {
   state.fleet.Update({ TargetAt("t1"), TargetAt("t2") });
   const auto targets = state.fleet.Of(core::ServiceId("models"));
@@ -237,28 +237,28 @@
   const auto home = *core::WeightedHome(core::PlacementHash("b"), homes);
   FleetTarget& away = *targets[1 - home];
   call.weight_version = 2;
-  // It owes this instance an answer and has not spoken: it may be dead.
+  // A request is outstanding and there was no response: it may be dead.
   targets[home]->load.OnBegin();
-  ReadFromHome(state, prompt, away, call);
+  ReadFromHomeTarget(state, prompt, away, call);
   CHECK(call.read_from.empty());
   targets[home]->load.OnEnd(std::chrono::seconds(1));
   targets[home]->health.OnUnreachable(now);
-  ReadFromHome(state, prompt, away, call);
+  ReadFromHomeTarget(state, prompt, away, call);
   CHECK(call.read_from.empty());
   targets[home]->health.OnAnswer();
-  // One of many instances seldom hears of a target that is well.
-  ReadFromHome(state, prompt, away, call);
+  // With many instances, each seldom gets a response from a healthy target.
+  ReadFromHomeTarget(state, prompt, away, call);
   STRCMP_EQUAL("127.0.0.1:90", call.read_from[1].address.c_str());
   call.read_from.clear();
   targets[home]->load.OnBegin();
-  targets[home]->last_heard = now;
-  ReadFromHome(state, prompt, *targets[home], call);
+  targets[home]->last_response_at = now;
+  ReadFromHomeTarget(state, prompt, *targets[home], call);
   CHECK(call.read_from.empty());
-  ReadFromHome(state, prompt, away, call);
+  ReadFromHomeTarget(state, prompt, away, call);
   STRCMP_EQUAL("127.0.0.1:90", call.read_from[1].address.c_str());
   CHECK(call.read_from[2].address.empty());
   call.read_from.clear();
   call.weight_version = 3;
-  ReadFromHome(state, prompt, away, call);
+  ReadFromHomeTarget(state, prompt, away, call);
   CHECK(call.read_from.empty());
 }
--- a/src/jujubehead/node/forward/store_look.cpp
+++ b/src/jujubehead/node/forward/store_look.cpp
@@ -9,7 +9,7 @@
 
 /// A store counts as full at this fraction of its capacity: parts occupy whole
 /// blocks, and other writes may be in flight.
-constexpr double kFullShare = 0.93;
+constexpr double kFullFraction = 0.93;
 
 std::vector<core::StoreFacts>
 FactsOf(const std::vector<core::DeclaredStore>& aStores)
@@ -21,7 +21,7 @@
     one.name_hash = core::PlacementHash(store.id.View());
     one.data_centre = store.data_centre.View();
     one.capacity_tokens = static_cast<double>(store.capacity_tokens);
-    one.rate = StoreLook::RateOf(store);
+    one.rate = StoreLookup::LinkRateOf(store);
     facts.push_back(one);
   }
   return facts;
@@ -29,9 +29,9 @@
 
 } // namespace
 
-StoreLook::StoreLook(const ForwardState& aState,
-                     std::string_view aScope,
-                     const core::ServiceId& aService)
+StoreLookup::StoreLookup(const ForwardState& aState,
+                         std::string_view aScope,
+                         const core::ServiceId& aService)
   : m_state(aState)
   , m_stores(aState.configuration->All().stores)
   , m_facts(FactsOf(m_stores))
@@ -44,65 +44,65 @@
 }
 
 core::LinkRate
-StoreLook::RateOf(const core::DeclaredStore& aStore)
+StoreLookup::LinkRateOf(const core::DeclaredStore& aStore)
 {
   return { aStore.bytes_per_second, aStore.first_delay };
 }
 
 std::size_t
-StoreLook::Alike(const core::DeclaredStore& aStore) const
+StoreLookup::CountWithSameLink(const core::DeclaredStore& aStore) const
 {
-  const core::LinkRate rate = RateOf(aStore);
+  const core::LinkRate rate = LinkRateOf(aStore);
   return static_cast<std::size_t>(std::count_if(
     m_stores.begin(), m_stores.end(), [&](const core::DeclaredStore& aOther) {
-      return RateOf(aOther) == rate;
+      return LinkRateOf(aOther) == rate;
     }));
 }
 
 bool
-StoreLook::Has(const core::DeclaredStore& aStore,
-               const core::PromptPart& aPart) const
+StoreLookup::HasPart(const core::DeclaredStore& aStore,
+                     const core::PromptPart& aPart) const
 {
   return m_state.parts.TokensAt(aStore.id, m_scope, aPart.id, m_now) >=
          aPart.tokens;
 }
 
 bool
-StoreLook::HasRoom(const core::DeclaredStore& aStore,
-                   const core::PromptPart& aPart) const
+StoreLookup::HasRoom(const core::DeclaredStore& aStore,
+                     const core::PromptPart& aPart) const
 {
   const auto tokens =
     static_cast<double>(m_state.parts.TokensKept(aStore.id) + aPart.tokens);
   return m_state.parts.IsPresent(aStore.id, m_now) &&
-         tokens <= kFullShare * static_cast<double>(aStore.capacity_tokens);
+         tokens <= kFullFraction * static_cast<double>(aStore.capacity_tokens);
 }
 
 core::TransferSize
-StoreLook::SizeOf(const core::PromptPart& aPart, bool aIsFar) const
+StoreLookup::TransferSizeOf(const core::PromptPart& aPart, bool aIsFar) const
 {
   return { aPart.tokens, m_token_bytes, aIsFar };
 }
 
 core::Duration
-StoreLook::LinkTime(const core::DeclaredStore& aStore,
-                    const core::PromptPart& aPart,
-                    const core::DataCentreId& aDataCentre) const
+StoreLookup::LinkTime(const core::DeclaredStore& aStore,
+                      const core::PromptPart& aPart,
+                      const core::DataCentreId& aDataCentre) const
 {
   const bool is_far = aStore.data_centre != aDataCentre;
-  return core::LinkTime(SizeOf(aPart, is_far), RateOf(aStore));
+  return core::LinkTime(TransferSizeOf(aPart, is_far), LinkRateOf(aStore));
 }
 
 PartHome
-StoreLook::Home(const core::PromptPart& aPart,
-                const core::DataCentreId& aDataCentre) const
+StoreLookup::FindHome(const core::PromptPart& aPart,
+                      const core::DataCentreId& aDataCentre) const
 {
   PartHome home;
   std::size_t kind = 0;
   const auto homes = core::StoreHomes(
-    core::PlacementHash(aPart.id), SizeOf(aPart, false), m_facts);
+    core::PlacementHash(aPart.id), TransferSizeOf(aPart, false), m_facts);
   for (const core::StoreHome& one : homes) {
     const core::DeclaredStore& store = m_stores[one.index];
-    if (Has(store, aPart)) {
+    if (HasPart(store, aPart)) {
       return { &store, true };
     }
     const bool is_nearer = one.kind == kind && store.data_centre == aDataCentre;
@@ -115,23 +115,23 @@
 }
 
 const core::DeclaredStore*
-StoreLook::Quickest(const core::PromptPart& aPart,
-                    const core::DataCentreId& aDataCentre) const
+StoreLookup::FastestStore(const core::PromptPart& aPart,
+                          const core::DataCentreId& aDataCentre) const
 {
-  const core::DeclaredStore* quickest = nullptr;
-  core::Duration least{};
+  const core::DeclaredStore* fastest = nullptr;
+  core::Duration shortest{};
   for (const core::DeclaredStore& store : m_stores) {
     if (store.data_centre != aDataCentre) {
       continue;
     }
     const core::Duration time =
       LinkTime(store, aPart, aDataCentre) + store.first_delay;
-    if (quickest == nullptr || time < least) {
-      quickest = &store;
-      least = time;
+    if (fastest == nullptr || time < shortest) {
+      fastest = &store;
+      shortest = time;
     }
   }
-  return quickest;
+  return fastest;
 }
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/store_look.hpp
+++ b/src/jujubehead/node/forward/store_look.hpp
@@ -22,24 +22,24 @@
 
 /// @brief Looks up the stores for the parts of one prompt. Holds references to
 /// its arguments, which must outlive it.
-class StoreLook
+class StoreLookup
 {
 public:
-  StoreLook(const ForwardState& aState,
-            std::string_view aScope,
-            const core::ServiceId& aService);
+  StoreLookup(const ForwardState& aState,
+              std::string_view aScope,
+              const core::ServiceId& aService);
 
   /// @return whether a store has all tokens of a part.
-  [[nodiscard]] bool Has(const core::DeclaredStore& aStore,
-                         const core::PromptPart& aPart) const;
+  [[nodiscard]] bool HasPart(const core::DeclaredStore& aStore,
+                             const core::PromptPart& aPart) const;
   [[nodiscard]] bool HasRoom(const core::DeclaredStore& aStore,
                              const core::PromptPart& aPart) const;
   /// @param aDataCentre where the part would be written from.
-  [[nodiscard]] PartHome Home(const core::PromptPart& aPart,
-                              const core::DataCentreId& aDataCentre) const;
+  [[nodiscard]] PartHome FindHome(const core::PromptPart& aPart,
+                                  const core::DataCentreId& aDataCentre) const;
   /// @return the store of a data centre with the shortest read time for a part;
   /// null when there is none.
-  [[nodiscard]] const core::DeclaredStore* Quickest(
+  [[nodiscard]] const core::DeclaredStore* FastestStore(
     const core::PromptPart& aPart,
     const core::DataCentreId& aDataCentre) const;
   /// @return how long a transfer of a part to or from a data centre occupies
@@ -50,12 +50,13 @@
     const core::DataCentreId& aDataCentre) const;
 
   /// @return the number of stores with the same link rate, including this one.
-  [[nodiscard]] std::size_t Alike(const core::DeclaredStore& aStore) const;
-  static core::LinkRate RateOf(const core::DeclaredStore& aStore);
+  [[nodiscard]] std::size_t CountWithSameLink(
+    const core::DeclaredStore& aStore) const;
+  static core::LinkRate LinkRateOf(const core::DeclaredStore& aStore);
 
 private:
-  [[nodiscard]] core::TransferSize SizeOf(const core::PromptPart& aPart,
-                                          bool aIsFar) const;
+  [[nodiscard]] core::TransferSize TransferSizeOf(const core::PromptPart& aPart,
+                                                  bool aIsFar) const;
 
   const ForwardState& m_state;
   const std::vector<core::DeclaredStore>& m_stores;
--- a/src/jujubehead/node/forward/target_exchange.cpp
+++ b/src/jujubehead/node/forward/target_exchange.cpp
@@ -10,7 +10,7 @@
 
 constexpr unsigned kFirstFinalStatus = 200;
 /// Replies to earlier requests that are skipped per exchange.
-constexpr int kMostOthers = 2;
+constexpr int kMaxOtherReplies = 2;
 /// Header limit of a reply: twice the usual limit of targets for requests.
 constexpr std::uint32_t kReplyHeaderBytes = 32U * 1024U;
 
@@ -35,7 +35,7 @@
 asio::awaitable<bool>
 TargetExchange::Open()
 {
-  m_connection = m_target->TakeResting(m_options.longest_rest);
+  m_connection = m_target->TakeIdleConnection(m_options.max_idle);
   if (m_connection) {
     co_return true;
   }
@@ -44,8 +44,8 @@
   const auto connection = m_connection;
   const error_code error = co_await connection->Connect(m_target->endpoint);
   if (error) {
-    m_why = "connect: " + error.message();
-    m_was_refused = error == asio::error::connection_refused;
+    m_error = "connect: " + error.message();
+    m_connection_refused = error == asio::error::connection_refused;
     Close();
     co_return false;
   }
@@ -63,7 +63,7 @@
 TargetExchange::StartReply()
 {
   m_parser = net::MessageParser::ForReply(
-    { kReplyHeaderBytes, m_options.body_limit }, m_options.to_head);
+    { kReplyHeaderBytes, m_options.body_limit }, m_options.is_head_request);
   m_body.clear();
 }
 
@@ -72,7 +72,7 @@
 {
   const auto connection = m_connection;
   if (!connection) {
-    m_why = "connection closed";
+    m_error = "connection closed";
     co_return false;
   }
   const error_code error = co_await connection->Read();
@@ -83,7 +83,7 @@
     m_is_clean = false;
     co_return true;
   }
-  m_why = "read: " + error.message();
+  m_error = "read: " + error.message();
   co_return false;
 }
 
@@ -91,7 +91,7 @@
 TargetExchange::Parse()
 {
   if (!m_connection) {
-    m_why = "connection closed";
+    m_error = "connection closed";
     return false;
   }
   std::string& input = m_connection->Input();
@@ -100,7 +100,7 @@
       input.erase(0, m_parser->Put(input, m_body));
     }
   } catch (const net::MessageError& error) {
-    m_why = std::string("invalid reply: ") + error.what();
+    m_error = std::string("invalid reply: ") + error.what();
     return false;
   }
   return true;
@@ -109,38 +109,38 @@
 TargetExchange::Owner
 TargetExchange::OwnerOfReply() const
 {
-  if (m_facts.request_id) {
-    return *m_facts.request_id == m_options.request_id ? Owner::kThis
-                                                       : Owner::kOther;
+  if (m_metadata.request_id) {
+    return *m_metadata.request_id == m_options.request_id ? Owner::kThis
+                                                          : Owner::kOther;
   }
   return m_is_new ? Owner::kThis : Owner::kUnknown;
 }
 
-ReplyPart
-TargetExchange::Broken(std::string aWhy)
+ReadResult
+TargetExchange::Broken(std::string aError)
 {
-  if (!aWhy.empty()) {
-    m_why = std::move(aWhy);
+  if (!aError.empty()) {
+    m_error = std::move(aError);
   }
   m_is_clean = false;
   Close();
-  return ReplyPart::kBroken;
+  return ReadResult::kBroken;
 }
 
-ReplyPart
+ReadResult
 TargetExchange::Progress()
 {
   if (!m_parser->IsWhole()) {
-    return ReplyPart::kMore;
+    return ReadResult::kMore;
   }
-  GiveBack();
-  return ReplyPart::kWhole;
+  ReleaseConnection();
+  return ReadResult::kComplete;
 }
 
-asio::awaitable<ReplyPart>
+asio::awaitable<ReadResult>
 TargetExchange::ReadHead()
 {
-  int others = 0;
+  int other_replies = 0;
   for (;;) {
     if (!Parse()) {
       co_return Broken({});
@@ -156,13 +156,13 @@
       StartReply();
       continue;
     }
-    m_facts = m_dialect.ReadReply(m_parser->Head());
+    m_metadata = m_dialect.ReadReply(m_parser->Head());
     const Owner owner = OwnerOfReply();
     if (owner == Owner::kThis) {
       co_return Progress();
     }
     m_is_clean = false;
-    if (owner == Owner::kUnknown || ++others > kMostOthers ||
+    if (owner == Owner::kUnknown || ++other_replies > kMaxOtherReplies ||
         m_parser->EndsWithConnection()) {
       co_return Broken("reply to another request");
     }
@@ -176,11 +176,11 @@
   }
 }
 
-asio::awaitable<ReplyPart>
+asio::awaitable<ReadResult>
 TargetExchange::ReadBody()
 {
   if (m_parser->IsWhole()) {
-    co_return ReplyPart::kWhole;
+    co_return ReadResult::kComplete;
   }
   const bool more = co_await ReadMore();
   if (!more || !Parse()) {
@@ -190,19 +190,19 @@
 }
 
 void
-TargetExchange::GiveBack()
+TargetExchange::ReleaseConnection()
 {
   const auto connection = std::exchange(m_connection, nullptr);
   if (!connection) {
     return;
   }
-  if (m_facts.keep_alive) {
-    m_target->OnKeepAlive(*m_facts.keep_alive);
+  if (m_metadata.keep_alive) {
+    m_target->OnKeepAlive(*m_metadata.keep_alive);
   }
   const bool reusable = m_is_clean && m_parser->KeepsAlive() &&
                         connection->Input().empty() && connection->IsSent();
   if (reusable) {
-    m_target->PutResting(connection);
+    m_target->PutIdleConnection(connection);
   } else {
     connection->Close();
   }
--- a/src/jujubehead/node/forward/target_exchange.hpp
+++ b/src/jujubehead/node/forward/target_exchange.hpp
@@ -18,20 +18,20 @@
 struct ExchangeOptions
 {
   std::string request_id;
-  bool to_head = false; ///< The request method is HEAD.
+  bool is_head_request = false; ///< The request method is HEAD.
   /// Longest idle time of a reused connection. If the target closes it while a
   /// request is sent, the request may or may not have run; use a short time for
   /// requests that must not run twice.
-  core::Duration longest_rest{};
+  core::Duration max_idle{};
   std::uint64_t body_limit = 16UL * 1024 * 1024; ///< Reply body, in bytes.
 };
 
 /// @brief Result of reading more of a reply.
-enum class ReplyPart : std::uint8_t
+enum class ReadResult : std::uint8_t
 {
-  kMore,   ///< Data was read, and more is expected.
-  kWhole,  ///< The reply is complete.
-  kBroken, ///< Truncated, invalid, or not a reply to this request.
+  kMore,     ///< Data was read, and more is expected.
+  kComplete, ///< The reply is complete.
+  kBroken,   ///< Truncated, invalid, or not a reply to this request.
 };
 
 /// @brief One request to one target and its reply.
@@ -56,10 +56,10 @@
   boost::asio::awaitable<bool> Open();
   void Send(std::string aMessage);
   /// @brief Waits for the header of the reply to this request.
-  /// @return kWhole if the body is complete too.
-  boost::asio::awaitable<ReplyPart> ReadHead();
+  /// @return kComplete if the body is complete too.
+  boost::asio::awaitable<ReadResult> ReadHead();
   /// @brief Waits for more of the body and appends it to Body().
-  boost::asio::awaitable<ReplyPart> ReadBody();
+  boost::asio::awaitable<ReadResult> ReadBody();
   /// @brief Closes the connection; pending reads end with kBroken.
   void Close();
 
@@ -67,14 +67,17 @@
   {
     return m_parser->Head();
   }
-  [[nodiscard]] const ReplyFacts& Facts() const { return m_facts; }
+  [[nodiscard]] const ReplyFacts& Metadata() const { return m_metadata; }
   /// @return received bytes of the body that were not consumed yet.
   [[nodiscard]] std::string& Body() { return m_body; }
   [[nodiscard]] bool IsOnNewConnection() const { return m_is_new; }
   /// @return whether nothing listens at the target's address.
-  [[nodiscard]] bool WasRefused() const { return m_was_refused; }
+  [[nodiscard]] bool WasConnectionRefused() const
+  {
+    return m_connection_refused;
+  }
   /// @return the reason of the last failure.
-  [[nodiscard]] const std::string& Why() const { return m_why; }
+  [[nodiscard]] const std::string& Error() const { return m_error; }
 
 private:
   enum class Owner : std::uint8_t
@@ -88,9 +91,9 @@
   bool Parse();
   void StartReply();
   [[nodiscard]] Owner OwnerOfReply() const;
-  ReplyPart Broken(std::string aWhy);
-  ReplyPart Progress();
-  void GiveBack();
+  ReadResult Broken(std::string aError);
+  ReadResult Progress();
+  void ReleaseConnection();
 
   boost::asio::any_io_executor m_executor;
   const Dialect& m_dialect;
@@ -98,11 +101,11 @@
   ExchangeOptions m_options;
   std::shared_ptr<net::OutboundConnection> m_connection;
   std::unique_ptr<net::MessageParser> m_parser;
-  ReplyFacts m_facts;
+  ReplyFacts m_metadata;
   std::string m_body;
-  std::string m_why;
+  std::string m_error;
   bool m_is_new = false;
-  bool m_was_refused = false;
+  bool m_connection_refused = false;
   bool m_is_clean = true; ///< No unexpected data was received.
 };
 
--- a/src/jujubehead/node/forward/target_fleet.cpp
+++ b/src/jujubehead/node/forward/target_fleet.cpp
@@ -11,10 +11,10 @@
 
 /// Idle connections per target: the usual number of concurrent requests from
 /// one instance. More would only use up the target's connection limit.
-constexpr std::size_t kMostResting = 8;
+constexpr std::size_t kMaxIdleConnections = 8;
 /// Keep-alive time of a target that does not state one; common servers allow
 /// five seconds or more.
-constexpr core::Duration kUsualKeepAlive = std::chrono::milliseconds(3000);
+constexpr core::Duration kDefaultKeepAlive = std::chrono::milliseconds(3000);
 /// Subtracted from a stated keep-alive time, for network time and late timers.
 constexpr core::Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 
@@ -24,11 +24,11 @@
 FleetTarget::VersionOf(const core::ModelId& aModel) const
 {
   const auto registered = target.VersionOf(aModel);
-  const auto told = m_told.find(aModel);
-  if (told == m_told.end()) {
+  const auto reported = m_reported_versions.find(aModel);
+  if (reported == m_reported_versions.end()) {
     return registered;
   }
-  return std::max(registered.value_or(0), told->second);
+  return std::max(registered.value_or(0), reported->second);
 }
 
 void
@@ -39,10 +39,10 @@
     return;
   }
   // The same report arrives several times.
-  if (aReport.heard <= std::max(last_heard, last_gone)) {
+  if (aReport.heard <= std::max(last_response_at, last_gone_report_at)) {
     return;
   }
-  last_gone = aReport.heard;
+  last_gone_report_at = aReport.heard;
   if (health.IsUsable(aNow)) {
     health.OnUnreachable(aNow);
   }
@@ -51,24 +51,24 @@
 void
 FleetTarget::OnVersion(const core::ModelId& aModel, std::uint64_t aVersion)
 {
-  std::uint64_t& told = m_told[aModel];
-  told = std::max(told, aVersion);
+  std::uint64_t& reported = m_reported_versions[aModel];
+  reported = std::max(reported, aVersion);
 }
 
 std::shared_ptr<net::OutboundConnection>
-FleetTarget::TakeResting(core::Duration aLongestRest)
+FleetTarget::TakeIdleConnection(core::Duration aMaxIdle)
 {
   const core::Duration allowed =
-    std::min(aLongestRest, m_keep_alive.value_or(kUsualKeepAlive));
+    std::min(aMaxIdle, m_keep_alive.value_or(kDefaultKeepAlive));
   const core::Instant oldest = core::RuntimeClock::now() - allowed;
-  while (!m_resting.empty()) {
-    auto connection = m_resting.back();
+  while (!m_idle_connections.empty()) {
+    auto connection = m_idle_connections.back();
     if (connection->resting_since < oldest) {
       // Those before it are idle for longer, but requests with a longer limit
       // may still use them.
       return nullptr;
     }
-    m_resting.pop_back();
+    m_idle_connections.pop_back();
     if (connection->IsAtRest()) {
       return connection;
     }
@@ -78,24 +78,25 @@
 }
 
 void
-FleetTarget::PutResting(std::shared_ptr<net::OutboundConnection> aConnection)
+FleetTarget::PutIdleConnection(
+  std::shared_ptr<net::OutboundConnection> aConnection)
 {
   const core::Instant now = core::RuntimeClock::now();
-  const core::Duration allowed = m_keep_alive.value_or(kUsualKeepAlive);
-  std::erase_if(m_resting, [&](const auto& aResting) {
-    const bool is_old = now - aResting->resting_since > allowed;
+  const core::Duration allowed = m_keep_alive.value_or(kDefaultKeepAlive);
+  std::erase_if(m_idle_connections, [&](const auto& aIdle) {
+    const bool is_old = now - aIdle->resting_since > allowed;
     if (is_old) {
-      aResting->Close();
+      aIdle->Close();
     }
     return is_old;
   });
-  if (is_gone || m_resting.size() >= kMostResting) {
+  if (is_gone || m_idle_connections.size() >= kMaxIdleConnections) {
     aConnection->Close();
     return;
   }
   aConnection->resting_since = now;
   aConnection->was_used = true;
-  m_resting.push_back(std::move(aConnection));
+  m_idle_connections.push_back(std::move(aConnection));
 }
 
 void
@@ -105,12 +106,12 @@
 }
 
 void
-FleetTarget::CloseResting()
+FleetTarget::CloseIdleConnections()
 {
-  for (const auto& connection : m_resting) {
+  for (const auto& connection : m_idle_connections) {
     connection->Close();
   }
-  m_resting.clear();
+  m_idle_connections.clear();
 }
 
 void
@@ -148,7 +149,7 @@
     known->is_gone = target.leaving;
     known->is_loading = m_loading.contains(target.id);
     if (known->is_gone) {
-      known->CloseResting();
+      known->CloseIdleConnections();
     }
     m_targets.emplace(target.id, known);
     m_by_key.emplace(core::KeyOf(target.id), known);
@@ -156,7 +157,7 @@
   }
   for (const auto& [id, gone] : before) {
     gone->is_gone = true;
-    gone->CloseResting();
+    gone->CloseIdleConnections();
   }
 }
 
--- a/src/jujubehead/node/forward/target_fleet.hpp
+++ b/src/jujubehead/node/forward/target_fleet.hpp
@@ -27,11 +27,12 @@
   boost::asio::ip::tcp::endpoint endpoint;
   core::TargetHealth health;
   core::LoadEstimate load;
-  bool is_gone = false;        ///< Has left the registry or is leaving.
-  bool is_loading = false;     ///< Is loading new weights.
-  core::Instant last_heard{};  ///< Last response to this instance.
-  core::Instant last_gone{};   ///< Last such report of another instance.
-  std::uint32_t streaming = 0; ///< Streams of this instance.
+  bool is_gone = false;             ///< Has left the registry or is leaving.
+  bool is_loading = false;          ///< Is loading new weights.
+  core::Instant last_response_at{}; ///< Last response to this instance.
+  core::Instant
+    last_gone_report_at{};          ///< Last such report of another instance.
+  std::uint32_t active_streams = 0; ///< Streams of this instance.
 
   /// @return the newest known version of a model's weights.
   [[nodiscard]] std::optional<std::uint64_t> VersionOf(
@@ -43,16 +44,16 @@
   void OnVersion(const core::ModelId& aModel, std::uint64_t aVersion);
 
   /// @return a connection idle for at most this time; null when there is none.
-  std::shared_ptr<net::OutboundConnection> TakeResting(
-    core::Duration aLongestRest);
-  void PutResting(std::shared_ptr<net::OutboundConnection> aConnection);
+  std::shared_ptr<net::OutboundConnection> TakeIdleConnection(
+    core::Duration aMaxIdle);
+  void PutIdleConnection(std::shared_ptr<net::OutboundConnection> aConnection);
   /// @brief Sets the target's keep-alive time of idle connections.
   void OnKeepAlive(core::Duration aTime);
-  void CloseResting();
+  void CloseIdleConnections();
 
 private:
-  std::map<core::ModelId, std::uint64_t> m_told;
-  std::vector<std::shared_ptr<net::OutboundConnection>> m_resting;
+  std::map<core::ModelId, std::uint64_t> m_reported_versions;
+  std::vector<std::shared_ptr<net::OutboundConnection>> m_idle_connections;
   std::optional<core::Duration> m_keep_alive;
 };
 
--- a/src/jujubehead/node/forward/target_fleet_test.cpp
+++ b/src/jujubehead/node/forward/target_fleet_test.cpp
@@ -20,35 +20,36 @@
 
 /// Simulates 295 instances that send 1,738 requests per second for two seconds
 /// to usable targets, after a third of 240 targets has crashed.
-/// @param aTellsAfter time until a report reaches all instances.
+/// @param aReportDelay time until a report reaches all instances.
 /// @return requests sent to a crashed target.
 int
-FailedRequests(std::optional<core::Duration> aTellsAfter)
+FailedRequests(std::optional<core::Duration> aReportDelay)
 {
   constexpr std::size_t kInstances = 295;
   constexpr std::size_t kTargets = 240;
-  constexpr std::size_t kGone = kTargets / 3;
+  constexpr std::size_t kCrashedTargets = kTargets / 3;
   constexpr int kRequests = 3476;
-  constexpr std::chrono::microseconds kBetween{ 575 };
+  constexpr std::chrono::microseconds kInterval{ 575 };
   std::mt19937 random(5);
   std::vector<std::vector<FleetTarget>> fleets(kInstances);
   for (auto& fleet : fleets) {
     fleet.resize(kTargets);
   }
-  std::vector<std::optional<core::Instant>> found(kGone);
+  std::vector<std::optional<core::Instant>> found(kCrashedTargets);
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
-    const core::Instant now = kNow + i * kBetween;
+    const core::Instant now = kNow + i * kInterval;
     auto& fleet = fleets[random() % kInstances];
     std::size_t target = random() % kTargets;
     for (; !fleet[target].health.IsUsable(now); target = random() % kTargets) {
     }
-    if (target >= kGone) {
+    if (target >= kCrashedTargets) {
       continue;
     }
-    if (aTellsAfter && found[target] && now - *found[target] >= *aTellsAfter) {
+    if (aReportDelay && found[target] &&
+        now - *found[target] >= *aReportDelay) {
       fleet[target].OnReport(Gone(*found[target]), now);
-      found[target] = now - *aTellsAfter;
+      found[target] = now - *aReportDelay;
       continue;
     }
     ++failed;
@@ -64,7 +65,7 @@
 
 TEST_GROUP(TargetFleet){};
 
-TEST(TargetFleet, OneThatAnotherInstanceFoundGoneIsLeftAlone)
+TEST(TargetFleet, DoesNotUseTargetReportedGone)
 {
   FleetTarget target;
   target.OnReport(Gone(kNow), kNow);
@@ -75,10 +76,10 @@
   CHECK(target.health.IsUsable(kNow + milliseconds(600)));
 }
 
-TEST(TargetFleet, ItsOwnAnswerIsBelievedBeforeAnOlderReport)
+TEST(TargetFleet, IgnoresReportOlderThanLastResponse)
 {
   FleetTarget target;
-  target.last_heard = kNow;
+  target.last_response_at = kNow;
   target.OnReport(Gone(kNow - milliseconds(1)), kNow);
   CHECK(target.health.IsUsable(kNow));
   target.OnReport(Gone(kNow + milliseconds(1)), kNow + milliseconds(1));
@@ -87,10 +88,10 @@
 
 // Guards against a retry storm: without reports, each instance loses a request
 // of its own to each crashed target.
-TEST(TargetFleet, WhatOneInstanceFoundGoneSparesTheOthersTheirFailures)
+TEST(TargetFleet, ReportsOfGoneTargetsAvoidFailedRequests)
 {
-  const int alone = FailedRequests(std::nullopt);
-  const int told = FailedRequests(milliseconds(500));
-  CHECK(alone > 900);
-  CHECK(told < alone / 2);
+  const int without_reports = FailedRequests(std::nullopt);
+  const int with_reports = FailedRequests(milliseconds(500));
+  CHECK(without_reports > 900);
+  CHECK(with_reports < without_reports / 2);
 }
--- a/src/jujubehead/node/forward/target_message.cpp
+++ b/src/jujubehead/node/forward/target_message.cpp
@@ -14,7 +14,7 @@
 
 /// Hop-by-hop header lines, and those that give the length of the body, which
 /// are generated again.
-constexpr std::array<std::string_view, 11> kOfConnection = {
+constexpr std::array<std::string_view, 11> kHopByHopHeaders = {
   "Connection",
   "Keep-Alive",
   "Proxy-Connection",
@@ -29,17 +29,17 @@
 };
 
 bool
-IsOfConnection(std::string_view aName)
+IsHopByHop(std::string_view aName)
 {
   return std::any_of(
-    kOfConnection.begin(), kOfConnection.end(), [&](std::string_view aOther) {
-      return iequals(aName, aOther);
-    });
+    kHopByHopHeaders.begin(),
+    kHopByHopHeaders.end(),
+    [&](std::string_view aOther) { return iequals(aName, aOther); });
 }
 
 /// @return the header names listed in `Connection`.
 std::vector<std::string>
-NamedByConnection(const net::HttpHeaders& aHeaders)
+ConnectionOptions(const net::HttpHeaders& aHeaders)
 {
   std::vector<std::string> names;
   for (const net::HttpHeader& line : aHeaders.Lines()) {
@@ -53,7 +53,7 @@
 }
 
 bool
-IsAmong(std::string_view aName, const std::vector<std::string>& aNames)
+ContainsName(std::string_view aName, const std::vector<std::string>& aNames)
 {
   return std::any_of(
     aNames.begin(), aNames.end(), [&](const std::string& aOther) {
@@ -62,7 +62,7 @@
 }
 
 void
-AppendLines(std::string& aText, const net::HttpHeaders& aHeaders)
+AppendHeaders(std::string& aText, const net::HttpHeaders& aHeaders)
 {
   for (const net::HttpHeader& line : aHeaders.Lines()) {
     aText.append(line.name).append(": ").append(line.value).append("\r\n");
@@ -72,25 +72,25 @@
 } // namespace
 
 std::string
-TargetMessage(const Dialect& aDialect,
-              const CallerRequest& aRequest,
-              const TargetCall& aCall)
+FormatTargetRequest(const Dialect& aDialect,
+                    const CallerRequest& aRequest,
+                    const TargetCall& aCall)
 {
   const net::MessageHead& head = aRequest.head;
-  const std::vector<std::string> named = NamedByConnection(head.headers);
+  const std::vector<std::string> named = ConnectionOptions(head.headers);
   std::string text;
   text.append(head.method).append(" ").append(head.target);
   text.append(" HTTP/1.1\r\n");
   for (const net::HttpHeader& line : head.headers.Lines()) {
     const bool is_dropped =
-      IsOfConnection(line.name) || aDialect.IsSetHere(line.name) ||
-      (IsAmong(line.name, named) && !aDialect.BelongsToRequest(line.name));
+      IsHopByHop(line.name) || aDialect.IsSetHere(line.name) ||
+      (ContainsName(line.name, named) && !aDialect.BelongsToRequest(line.name));
     if (!is_dropped) {
       text.append(line.name).append(": ").append(line.value).append("\r\n");
     }
   }
-  AppendLines(text, aDialect.LinesOf(aCall));
-  if (aRequest.had_body) {
+  AppendHeaders(text, aDialect.LinesOf(aCall));
+  if (aRequest.has_body) {
     text.append("Content-Length: ")
       .append(std::to_string(aRequest.body.size()))
       .append("\r\n");
@@ -99,12 +99,12 @@
 }
 
 net::HttpHeaders
-LinesForCaller(const net::HttpHeaders& aReply)
+HeadersForCaller(const net::HttpHeaders& aReply)
 {
-  const std::vector<std::string> named = NamedByConnection(aReply);
+  const std::vector<std::string> named = ConnectionOptions(aReply);
   net::HttpHeaders lines;
   for (const net::HttpHeader& line : aReply.Lines()) {
-    if (!IsOfConnection(line.name) && !IsAmong(line.name, named)) {
+    if (!IsHopByHop(line.name) && !ContainsName(line.name, named)) {
       lines.Add(line.name, line.value);
     }
   }
--- a/src/jujubehead/node/forward/target_message.hpp
+++ b/src/jujubehead/node/forward/target_message.hpp
@@ -13,13 +13,13 @@
 /// are unchanged; the system's own header lines replace any that the caller
 /// sent under their names.
 std::string
-TargetMessage(const Dialect& aDialect,
-              const CallerRequest& aRequest,
-              const TargetCall& aCall);
+FormatTargetRequest(const Dialect& aDialect,
+                    const CallerRequest& aRequest,
+                    const TargetCall& aCall);
 
 /// @return the header lines of a target's reply that are passed to the caller.
 net::HttpHeaders
-LinesForCaller(const net::HttpHeaders& aReply);
+HeadersForCaller(const net::HttpHeaders& aReply);
 
 } // namespace jujubehead::node
 
