--- a/src/jujubehead/node/forward/forward_run.cpp
+++ b/src/jujubehead/node/forward/forward_run.cpp
@@ -280,10 +280,10 @@
     aReply.is_retryable ? "refused" : "failed", aReply.status, aReply.message);
   m_state.metrics.Refuse(aReply.is_retryable ? "refused" : "failed",
                          aReply.is_retryable);
-  FullResponse reply;
-  reply.status = aReply.status;
-  reply.headers = m_state.dialect.LinesOfOwnAnswer(m_metadata.request_id);
-  reply.headers.Add("Content-Type", "text/plain");
+  FullResponse response;
+  response.status = aReply.status;
+  response.headers = m_state.dialect.LinesOfOwnAnswer(m_metadata.request_id);
+  response.headers.Add("Content-Type", "text/plain");
   if (aReply.is_retryable) {
     std::uniform_int_distribution<std::int64_t> spread(kRetryAfterMinMs,
                                                        kRetryAfterMaxMs);
@@ -295,10 +295,10 @@
     std::string seconds = std::to_string(wait / 1000) + ".";
     const std::string digits = std::to_string(wait % 1000);
     seconds.append(3 - digits.size(), '0').append(digits);
-    reply.headers.Add("Retry-After", seconds);
+    response.headers.Add("Retry-After", seconds);
   }
-  reply.body = std::move(aReply.message) + '\n';
-  co_await m_session->SendResponse(std::move(reply));
+  response.body = std::move(aReply.message) + '\n';
+  co_await m_session->SendResponse(std::move(response));
 }
 
 void
--- a/src/jujubehead/node/forward/part_places_test.cpp
+++ b/src/jujubehead/node/forward/part_places_test.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_GROUP(PartPlaces)
+TEST_GROUP(TransferPlan)
 {
   EntryOptions options;
   NoHeaders dialect;
@@ -117,7 +117,7 @@
   }
 };
 
-TEST(PartPlaces, ReadsCompletePartAndStoresMissingOnesExceptTheLast)
+TEST(TransferPlan, ReadsCompletePartAndStoresMissingOnesExceptTheLast)
 {
   ReportCompletePart();
   CHECK(Reads());
@@ -128,34 +128,34 @@
   CHECK(*call.read_until_ms >= 5000 + 2900);
 }
 
-TEST(PartPlaces, DoesNotReadPartWithFewerTokens)
+TEST(TransferPlan, DoesNotReadPartWithFewerTokens)
 {
   ReportEvents({ { core::ToText(kScope), "b", 899, true } });
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, DoesNotReadWithoutOperatorContact)
+TEST(TransferPlan, DoesNotReadWithoutOperatorContact)
 {
   ReportCompletePart();
   state.operator_heard = now - std::chrono::seconds(2);
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, DoesNotReadForWeightsBeingReplaced)
+TEST(TransferPlan, DoesNotReadForWeightsBeingReplaced)
 {
   ReportCompletePart();
   state.wanted_weights[core::ModelId("m1")].Add(3, core::Instant::max());
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, DoesNotReadWithoutTargetClock)
+TEST(TransferPlan, DoesNotReadWithoutTargetClock)
 {
   ReportCompletePart();
   state.target_clock = {};
   CHECK_FALSE(Reads());
 }
 
-TEST(PartPlaces, DoesNotUseUnreachableStore)
+TEST(TransferPlan, DoesNotUseUnreachableStore)
 {
   ReportCompletePart();
   state.parts.OnSilence(kStore);
@@ -163,7 +163,7 @@
   CHECK(call.keep_at[0].address.empty());
 }
 
-TEST(PartPlaces, DoesNotWriteToFullStore)
+TEST(TransferPlan, DoesNotWriteToFullStore)
 {
   ReportEvents({ { core::ToText(kScope), "x", 99950, true } });
   Plan();
@@ -172,7 +172,7 @@
 
 // 900 tokens of 100 kB take 180 ms on a 0.5 GB/s link; at a tenth of the link,
 // an instance's share here, they take 1.8 s.
-TEST(PartPlaces, SkipsStoreWithBusyLink)
+TEST(TransferPlan, SkipsStoreWithBusyLink)
 {
   core::DeclaredStore store{
     kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000
@@ -193,7 +193,7 @@
   CHECK(call.read_from[1].address.empty());
 }
 
-TEST(PartPlaces, StoresHotPartInEachDataCentre)
+TEST(TransferPlan, StoresHotPartInEachDataCentre)
 {
   const core::StoreId other("s2");
   Declare({ { kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000 },
@@ -211,7 +211,7 @@
   STRCMP_EQUAL("10.0.0.2:80", call.keep_at[1].address.c_str());
 }
 
-TEST(PartPlaces, PrefersDataCentreOfStoreOnlyForLongTransfer)
+TEST(TransferPlan, PrefersDataCentreOfStoreOnlyForLongTransfer)
 {
   core::DeclaredStore store{
     kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000
@@ -227,7 +227,7 @@
   CHECK_FALSE(StorePlaceOf(state, prompt, kScope, models).has_value());
 }
 
-TEST(PartPlaces, ReadsOnlyFromLiveHomeTargetWithSameWeights)
+TEST(TransferPlan, ReadsOnlyFromLiveHomeTargetWithSameWeights)
 {
   state.fleet.Update({ TargetAt("t1"), TargetAt("t2") });
   const auto targets = state.fleet.Of(core::ServiceId("models"));
