--- a/include/jujubehead/node/forward/dialect.hpp
+++ b/include/jujubehead/node/forward/dialect.hpp
@@ -30,7 +30,7 @@
 struct PartPlace
 {
   std::string address;      ///< `ip:port` of a store; empty: none.
-  std::uint64_t tokens = 0; ///< Tokens of the part.
+  std::uint64_t tokens = 0; ///< Complete tokens held there.
 };
 
 /// @brief Values sent to a target with a request.
@@ -41,8 +41,8 @@
   core::Duration time_left{};
   std::optional<std::uint32_t> urgency; ///< 0 to 9, 0 is the most urgent.
   std::optional<std::uint64_t> weight_version;
-  std::string
-    cache_scope; ///< Requests of a scope share cached parts; empty: none.
+  /// Requests of the same scope share cached parts; empty: no sharing.
+  std::string cache_scope;
   std::vector<PartPlace> read_from; ///< For each part; may be empty.
   /// Deadline of reads by the targets' clock, in ms; later ones are discarded.
   std::optional<std::int64_t> read_until_ms;
--- a/src/jujubehead/node/forward/decision_log.hpp
+++ b/src/jujubehead/node/forward/decision_log.hpp
@@ -32,12 +32,12 @@
   std::string m_text;
 };
 
-/// @brief Rate limit of the lines written per request.
+/// @brief Rate limit of lines caused by requests.
 struct DecisionLogOptions
 {
   /// A line costs about 20 us of CPU time.
   double lines_per_second = 60;
-  double burst = 120;
+  double burst = 120; ///< Lines at once.
 };
 
 /// @brief Rate-limited log of one thread's decisions. The number of dropped
--- a/src/jujubehead/node/forward/forward_state.hpp
+++ b/src/jujubehead/node/forward/forward_state.hpp
@@ -71,8 +71,8 @@
   TargetClock target_clock;
   core::Instant operator_heard{}; ///< Last read of the operator's rows.
   bool is_stopping = false;
-  core::Instant exits_at =
-    core::Instant::max(); ///< When a stopping instance exits.
+  /// Exit time of a stopping instance.
+  core::Instant exits_at = core::Instant::max();
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/forwarder.cpp
+++ b/src/jujubehead/node/forward/forwarder.cpp
@@ -219,12 +219,12 @@
 void
 Forwarder::OnPartEvents(core::StoreId aStore,
                         core::PartEventPage aPage,
-                        core::Instant aHeard)
+                        core::Instant aReceivedAt)
 {
   asio::post(
     m_context,
-    [this, aHeard, store = std::move(aStore), page = std::move(aPage)] {
-      m_state.parts.OnPage(store, page, aHeard);
+    [this, aReceivedAt, store = std::move(aStore), page = std::move(aPage)] {
+      m_state.parts.OnPage(store, page, aReceivedAt);
       if (page.clock_ms) {
         const core::Instant now = core::RuntimeClock::now();
         m_state.target_clock.OnReading(*page.clock_ms, now);
--- a/src/jujubehead/node/forward/forwarder.hpp
+++ b/src/jujubehead/node/forward/forwarder.hpp
@@ -59,7 +59,7 @@
   void SetLoaded(core::TargetId aTarget, core::LoadedModel aLoaded);
   void OnPartEvents(core::StoreId aStore,
                     core::PartEventPage aPage,
-                    core::Instant aHeard);
+                    core::Instant aReceivedAt);
   /// @brief Drops the parts of superseded scopes from the directory.
   void ForgetParts(core::SupersededScopes aScopes);
   /// @brief Applies load reports of other instances and passes on those that
--- a/src/jujubehead/node/forward/part_places.hpp
+++ b/src/jujubehead/node/forward/part_places.hpp
@@ -18,7 +18,7 @@
   std::uint64_t transferred = 0; ///< Read from a store.
   std::uint64_t recomputed = 0;  ///< Not read from a store.
   std::uint64_t skipped = 0; ///< Of `recomputed`: stored, but the link is busy.
-  std::uint64_t to_store = 0; ///< Of `recomputed`: to be written to a store.
+  std::uint64_t to_store = 0; ///< To be written to a store.
   core::Duration link_wait{}; ///< Longest expected wait for a link.
 };
 
--- a/src/jujubehead/node/forward/target_fleet.cpp
+++ b/src/jujubehead/node/forward/target_fleet.cpp
@@ -155,9 +155,9 @@
     m_by_key.emplace(core::KeyOf(target.id), known);
     m_by_service[target.service].push_back(known);
   }
-  for (const auto& [id, gone] : before) {
-    gone->is_gone = true;
-    gone->CloseIdleConnections();
+  for (const auto& [id, removed] : before) {
+    removed->is_gone = true;
+    removed->CloseIdleConnections();
   }
 }
 
--- a/src/jujubehead/node/forward/target_fleet_test.cpp
+++ b/src/jujubehead/node/forward/target_fleet_test.cpp
@@ -13,7 +13,7 @@
 const core::Instant kNow = core::Instant(std::chrono::hours(1));
 
 core::HeardLoad
-Gone(core::Instant aNow)
+GoneReport(core::Instant aNow)
 {
   return core::GoneTarget(core::TargetId("t"), aNow);
 }
@@ -48,7 +48,7 @@
     }
     if (aReportDelay && found[target] &&
         now - *found[target] >= *aReportDelay) {
-      fleet[target].OnReport(Gone(*found[target]), now);
+      fleet[target].OnReport(GoneReport(*found[target]), now);
       found[target] = now - *aReportDelay;
       continue;
     }
@@ -68,11 +68,11 @@
 TEST(TargetFleet, DoesNotUseTargetReportedGone)
 {
   FleetTarget target;
-  target.OnReport(Gone(kNow), kNow);
+  target.OnReport(GoneReport(kNow), kNow);
   CHECK_FALSE(target.health.IsUsable(kNow));
   CHECK(target.health.IsUsable(kNow + milliseconds(500)));
   // A repeated report does not take the target out again.
-  target.OnReport(Gone(kNow), kNow + milliseconds(600));
+  target.OnReport(GoneReport(kNow), kNow + milliseconds(600));
   CHECK(target.health.IsUsable(kNow + milliseconds(600)));
 }
 
@@ -80,9 +80,9 @@
 {
   FleetTarget target;
   target.last_response_at = kNow;
-  target.OnReport(Gone(kNow - milliseconds(1)), kNow);
+  target.OnReport(GoneReport(kNow - milliseconds(1)), kNow);
   CHECK(target.health.IsUsable(kNow));
-  target.OnReport(Gone(kNow + milliseconds(1)), kNow + milliseconds(1));
+  target.OnReport(GoneReport(kNow + milliseconds(1)), kNow + milliseconds(1));
   CHECK_FALSE(target.health.IsUsable(kNow + milliseconds(1)));
 }
 
