--- a/src/jujubehead/node/forward/caller_session.hpp
+++ b/src/jujubehead/node/forward/caller_session.hpp
@@ -14,45 +14,46 @@
 
 namespace jujubehead::node {
 
-/// @brief One request as a caller sent it.
+/// @brief A request as received from a caller.
 struct CallerRequest
 {
   net::MessageHead head;
   std::string body;
-  bool had_body = false; ///< A length or chunks were given.
-  core::Instant begun{}; ///< When its first byte was read.
+  bool has_body = false;       ///< A length or chunked encoding was given.
+  core::Instant received_at{}; ///< When its first byte was read.
 };
 
-/// @brief An answer with its whole body.
-struct WholeAnswer
+/// @brief A response with its complete body.
+struct FullResponse
 {
   unsigned status = 200;
   std::string reason;
-  net::HttpHeaders headers; ///< Without those of the connection and length.
+  net::HttpHeaders headers; ///< Without connection and length lines.
   std::string body;
 };
 
 class CallerSession;
 
-/// @brief Who answers the requests of sessions.
+/// @brief Handles the requests of sessions.
 class RequestHandler
 {
 public:
   virtual ~RequestHandler() = default;
-  /// @brief Answers one request by the session's Answer() or its stream calls.
+  /// @brief Responds to one request with the session's Answer() or stream
+  /// calls.
   virtual boost::asio::awaitable<void> Handle(
     std::shared_ptr<CallerSession> aSession) = 0;
   [[nodiscard]] virtual core::CallerLimits Limits() const = 0;
-  /// @return whether connections are to end after the present answer.
+  /// @return whether connections should close after the current response.
   [[nodiscard]] virtual bool IsStopping() const = 0;
   virtual void OnSessionBegin(CallerSession& aSession) = 0;
   virtual void OnSessionEnd(CallerSession& aSession) = 0;
-  /// @brief A message could not be read; its caller was told so.
-  virtual void OnUnreadable(const std::string& aWhy, unsigned aStatus) = 0;
+  /// @brief Called when a request is rejected as malformed or late.
+  virtual void OnRejected(const std::string& aDetail, unsigned aStatus) = 0;
 };
 
-/// @brief One connection of a caller: reads requests, writes answers, and
-/// notices while an answer is under way that the caller has left.
+/// @brief One connection of a caller: reads requests, writes responses, and
+/// detects when the caller disconnects during a request.
 class CallerSession : public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -69,29 +70,29 @@
   [[nodiscard]] const CallerRequest& Request() const { return m_request; }
   [[nodiscard]] boost::asio::any_io_executor Executor();
 
-  /// @brief Called once when the caller leaves before its answer is complete;
-  /// an empty function removes it.
-  void OnGone(std::function<void()> aCallback);
-  [[nodiscard]] bool IsGone() const { return m_gone; }
+  /// @brief Sets a function that is called once if the caller disconnects
+  /// before its response is complete; an empty function removes it.
+  void OnDisconnect(std::function<void()> aCallback);
+  [[nodiscard]] bool IsDisconnected() const { return m_disconnected; }
 
-  /// @brief Gives the whole answer at once.
-  /// @return whether the caller's socket took it.
-  boost::asio::awaitable<bool> Answer(WholeAnswer aAnswer);
-  /// @brief Begins an answer whose body comes in pieces; written with the
-  /// first piece.
+  /// @brief Sends a complete response.
+  /// @return whether it was written to the socket.
+  boost::asio::awaitable<bool> SendResponse(FullResponse aResponse);
+  /// @brief Begins a streamed response; its header is written with the first
+  /// piece of the body.
   void BeginStream(unsigned aStatus,
                    std::string_view aReason,
                    const net::HttpHeaders& aHeaders);
-  boost::asio::awaitable<bool> WritePiece(std::string_view aBytes);
+  boost::asio::awaitable<bool> WriteChunk(std::string_view aBytes);
   boost::asio::awaitable<bool> EndStream();
   [[nodiscard]] bool HasStreamBegun() const { return m_stream_begun; }
-  /// @brief Ends the connection unless a request is under way or just comes.
+  /// @brief Closes the connection unless a request is being read or handled.
   void CloseIfIdle();
-  /// @brief Ends the connection so that an answer under way does not look
+  /// @brief Resets the connection, so that a partial response does not look
   /// complete.
   void Abort();
-  /// @brief Ends the connection and the request under way.
-  void Abandon();
+  /// @brief Resets the connection and cancels its request.
+  void Cancel();
 
 private:
   CallerSession(boost::asio::ip::tcp::socket aSocket, RequestHandler& aHandler);
@@ -101,27 +102,27 @@
   boost::asio::awaitable<bool> ReadMore(core::Duration aTimeout);
   boost::asio::awaitable<bool> AllowBody(const net::MessageParser& aParser);
   boost::asio::awaitable<bool> Write(std::string aBytes);
-  boost::asio::awaitable<void> Reject(unsigned aStatus, std::string aWhy);
-  boost::asio::awaitable<void> LetCallerRead();
-  void WatchCaller();
+  boost::asio::awaitable<void> Reject(unsigned aStatus, std::string aDetail);
+  boost::asio::awaitable<void> Linger();
+  void WatchForDisconnect();
   void OnReadable();
-  void TellGone();
-  [[nodiscard]] std::string HeadOf(unsigned aStatus,
-                                   std::string_view aReason,
-                                   const net::HttpHeaders& aHeaders);
+  void NotifyDisconnect();
+  [[nodiscard]] std::string FormatHead(unsigned aStatus,
+                                       std::string_view aReason,
+                                       const net::HttpHeaders& aHeaders);
 
   boost::asio::ip::tcp::socket m_socket;
   RequestHandler& m_handler;
   std::string m_input;
   CallerRequest m_request;
-  std::function<void()> m_on_gone;
-  std::string m_unwritten; ///< Head of a stream before its first piece.
-  bool m_keep = true;
-  bool m_gone = false;
-  bool m_answering = false;
-  bool m_watching = false;
+  std::function<void()> m_on_disconnect;
+  std::string m_pending_head; ///< Header of a stream, until its first piece.
+  bool m_keep_alive = true;
+  bool m_disconnected = false;
+  bool m_is_handling = false;
+  bool m_is_watching = false;
   bool m_stream_begun = false;
-  bool m_writes_chunks = false;
+  bool m_is_chunked = false;
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/target_fleet_test.cpp
+++ b/src/jujubehead/node/forward/target_fleet_test.cpp
@@ -13,42 +13,43 @@
 const core::Instant kNow = core::Instant(std::chrono::hours(1));
 
 core::HeardLoad
-Gone(core::Instant aNow)
+GoneReport(core::Instant aNow)
 {
   return core::GoneTarget(core::TargetId("t"), aNow);
 }
 
-/// A third of 240 targets crash, and 295 instances send to any that they take
-/// for usable, 1,738 requests a second for two seconds.
-/// @param aTellsAfter the time until all know what one of them found.
-/// @return requests that met a target that is gone.
+/// Simulates 295 instances that send 1,738 requests per second for two seconds
+/// to usable targets, after a third of 240 targets has crashed.
+/// @param aReportDelay time until a report reaches all instances.
+/// @return requests sent to a crashed target.
 int
-FailedRequests(std::optional<core::Duration> aTellsAfter)
+FailedRequests(std::optional<core::Duration> aReportDelay)
 {
   constexpr std::size_t kInstances = 295;
   constexpr std::size_t kTargets = 240;
-  constexpr std::size_t kGone = kTargets / 3;
+  constexpr std::size_t kCrashedTargets = kTargets / 3;
   constexpr int kRequests = 3476;
-  constexpr std::chrono::microseconds kBetween{ 575 };
+  constexpr std::chrono::microseconds kInterval{ 575 };
   std::mt19937 random(5);
   std::vector<std::vector<FleetTarget>> fleets(kInstances);
   for (auto& fleet : fleets) {
     fleet.resize(kTargets);
   }
-  std::vector<std::optional<core::Instant>> found(kGone);
+  std::vector<std::optional<core::Instant>> found(kCrashedTargets);
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
-    const core::Instant now = kNow + i * kBetween;
+    const core::Instant now = kNow + i * kInterval;
     auto& fleet = fleets[random() % kInstances];
     std::size_t target = random() % kTargets;
     for (; !fleet[target].health.IsUsable(now); target = random() % kTargets) {
     }
-    if (target >= kGone) {
+    if (target >= kCrashedTargets) {
       continue;
     }
-    if (aTellsAfter && found[target] && now - *found[target] >= *aTellsAfter) {
-      fleet[target].OnReport(Gone(*found[target]), now);
-      found[target] = now - *aTellsAfter;
+    if (aReportDelay && found[target] &&
+        now - *found[target] >= *aReportDelay) {
+      fleet[target].OnReport(GoneReport(*found[target]), now);
+      found[target] = now - *aReportDelay;
       continue;
     }
     ++failed;
@@ -64,33 +65,33 @@
 
 TEST_GROUP(TargetFleet){};
 
-TEST(TargetFleet, OneThatAnotherInstanceFoundGoneIsLeftAlone)
+TEST(TargetFleet, DoesNotUseTargetReportedGone)
 {
   FleetTarget target;
-  target.OnReport(Gone(kNow), kNow);
+  target.OnReport(GoneReport(kNow), kNow);
   CHECK_FALSE(target.health.IsUsable(kNow));
   CHECK(target.health.IsUsable(kNow + milliseconds(500)));
-  // The same report again is no new evidence.
-  target.OnReport(Gone(kNow), kNow + milliseconds(600));
+  // A repeated report does not take the target out again.
+  target.OnReport(GoneReport(kNow), kNow + milliseconds(600));
   CHECK(target.health.IsUsable(kNow + milliseconds(600)));
 }
 
-TEST(TargetFleet, ItsOwnAnswerIsBelievedBeforeAnOlderReport)
+TEST(TargetFleet, IgnoresReportOlderThanLastResponse)
 {
   FleetTarget target;
-  target.last_heard = kNow;
-  target.OnReport(Gone(kNow - milliseconds(1)), kNow);
+  target.last_response_at = kNow;
+  target.OnReport(GoneReport(kNow - milliseconds(1)), kNow);
   CHECK(target.health.IsUsable(kNow));
-  target.OnReport(Gone(kNow + milliseconds(1)), kNow + milliseconds(1));
+  target.OnReport(GoneReport(kNow + milliseconds(1)), kNow + milliseconds(1));
   CHECK_FALSE(target.health.IsUsable(kNow + milliseconds(1)));
 }
 
-// Retry storm: each of many instances would find out by a failed request of its
-// own, for each target that crashed.
-TEST(TargetFleet, WhatOneInstanceFoundGoneSparesTheOthersTheirFailures)
+// Guards against a retry storm: without reports, each instance loses a request
+// of its own to each crashed target.
+TEST(TargetFleet, ReportsOfGoneTargetsAvoidFailedRequests)
 {
-  const int alone = FailedRequests(std::nullopt);
-  const int told = FailedRequests(milliseconds(500));
-  CHECK(alone > 900);
-  CHECK(told < alone / 2);
+  const int without_reports = FailedRequests(std::nullopt);
+  const int with_reports = FailedRequests(milliseconds(500));
+  CHECK(without_reports > 900);
+  CHECK(with_reports < without_reports / 2);
 }
