--- a/include/jujubehead/core/context/cache_scope.hpp
+++ b/include/jujubehead/core/context/cache_scope.hpp
@@ -10,23 +10,24 @@
 
 namespace jujubehead::core {
 
-/// @brief Who may share cached parts of prompts: requests on one version of one
-/// model's weights, and of one account where that shares with no other. A part
-/// that other weights or another's request made cannot be named by it.
+/// @brief The requests that share cached prompt parts: those on one version of
+/// one model's weights and, where an account does not share its cache, of that
+/// account. The scope is part of the cache key, so parts computed with other
+/// weights or for another account cannot be addressed.
 struct CacheScope
 {
   ModelId model;
   std::uint64_t weight_version = 0;
-  AccountId account; ///< Empty: all accounts that share.
+  AccountId account; ///< Empty: all accounts that share their cache.
 
   friend bool operator==(const CacheScope&, const CacheScope&) = default;
 };
 
-/// @return the scope as text, different for different scopes.
+/// @return the scope as text, unique to each scope.
 std::string
 ToText(const CacheScope& aScope);
 
-/// @return the scope that a text stands for; nothing when it is none.
+/// @return the parsed scope; nothing if the text is not a valid scope.
 std::optional<CacheScope>
 CacheScopeOf(std::string_view aText);
 
--- a/include/jujubehead/core/context/part_directory.hpp
+++ b/include/jujubehead/core/context/part_directory.hpp
@@ -14,13 +14,13 @@
 
 namespace jujubehead::core {
 
-/// @brief A part of a prompt became whole at a store, or left it.
+/// @brief A store finished writing a prompt part, or removed it.
 struct PartEvent
 {
-  std::string scope; ///< Which accounts and weights the part belongs to.
+  std::string scope; ///< Text of the CacheScope.
   std::string part;
-  std::uint64_t tokens = 0; ///< That the store has of it now.
-  bool is_kept = false;     ///< False: it left the store.
+  std::uint64_t tokens = 0; ///< Stored now.
+  bool is_kept = false;     ///< False: removed from the store.
 };
 
 /// @brief A part of a prompt, within a scope.
@@ -30,76 +30,76 @@
   std::string part;
 };
 
-/// @brief What a store told since the last time.
+/// @brief A store's events since the previous read.
 struct PartEventPage
 {
-  std::uint64_t epoch = 0; ///< Changes when the store starts anew, empty.
-  std::uint64_t next = 0;  ///< Where to go on.
-  bool has_gap = false;    ///< Events before these were lost.
-  bool is_all = false;     ///< What is not among the events is not there.
-  /// The clock of targets and stores when it answered, in ms.
+  std::uint64_t epoch = 0; ///< Changes when the store restarts, empty.
+  std::uint64_t next = 0;  ///< Cursor of the next read.
+  bool has_gap = false;    ///< Earlier events were lost.
+  bool is_all = false;     ///< A snapshot: parts without an event are absent.
+  /// Clock shared by targets and stores at the time of the answer, in ms.
   std::optional<std::int64_t> clock_ms;
   std::vector<PartEvent> events;
 };
 
-/// @brief How long a store's word is believed.
+/// @brief How long a store's entries stay valid without an answer.
 struct PartDirectoryOptions
 {
-  /// After this silence a store may have started anew: one long poll, its
-  /// time-out and the way there and back. A part read by then could be one
-  /// that is just being written again.
+  /// A store that has not answered for this long may have restarted: one long
+  /// poll, its time-out and a round trip. A part read after that could be one
+  /// that is being written again.
   Duration trust_time = std::chrono::milliseconds(900);
 };
 
-/// @brief Which parts of prompts are whole at which store, by the stores' own
-/// word. Only such a part may be read: one that is being written is not told
-/// from a whole one by the store itself.
+/// @brief Which prompt parts are completely written at which store, as reported
+/// by the stores. Only these may be read, because a store does not distinguish
+/// a part that is still being written from a complete one.
 ///
-/// Events that were lost only hide parts that are there; nothing is ever freed,
-/// so a part that was told once stays until its store starts anew.
+/// Lost events can only hide parts that are there. Stores free nothing by
+/// themselves, so a reported part stays until its store restarts.
 class PartDirectory
 {
 public:
   explicit PartDirectory(PartDirectoryOptions aOptions = {});
 
-  /// @param aHeard when the store said so, at the latest.
+  /// @param aAnswered upper bound of the time at which the store answered.
   void OnPage(const StoreId& aStore,
               const PartEventPage& aPage,
-              Instant aHeard);
-  /// @brief The store did not answer: nothing of it is believed until it does.
+              Instant aAnswered);
+  /// @brief The store did not answer: its parts count as absent until it does.
   void OnSilence(const StoreId& aStore);
-  /// @brief Parts that left a store, before the store itself tells.
+  /// @brief Drops parts that were removed from a store, ahead of its events.
   void Drop(const StoreId& aStore, const std::vector<ScopedPart>& aParts);
-  /// @brief Forgets the blocks of scopes that are asked for, at all stores.
-  void DropWhere(const std::function<bool(std::string_view aScope)>& aIsAsked);
-  /// @brief Forgets the stores that are not among these.
+  /// @brief Drops the parts of all scopes that match, at all stores.
+  void DropWhere(const std::function<bool(std::string_view aScope)>& aMatches);
+  /// @brief Drops all stores except these.
   void KeepOnly(const std::vector<StoreId>& aStores);
 
-  /// @return the tokens of a part that are whole at a store; 0 when none are
-  /// known to be.
+  /// @return the number of tokens of a part that are completely written at a
+  /// store; 0 if none are known.
   [[nodiscard]] std::uint64_t TokensAt(const StoreId& aStore,
                                        std::string_view aScope,
                                        std::string_view aPart,
                                        Instant aNow) const;
-  /// @return whether a store answered of late.
+  /// @return whether a store answered within PartDirectoryOptions::trust_time.
   [[nodiscard]] bool IsPresent(const StoreId& aStore, Instant aNow) const;
-  /// @return the present start of a store; 0 when nothing is known of it.
+  /// @return the current epoch of a store; 0 if the store is unknown.
   [[nodiscard]] std::uint64_t EpochOf(const StoreId& aStore) const;
-  /// @return at most so many parts at a store whose scope is asked for.
+  /// @return at most `aMost` parts at a store whose scope matches.
   [[nodiscard]] std::vector<ScopedPart> PartsWhere(
     const StoreId& aStore,
     std::size_t aMost,
-    const std::function<bool(std::string_view aScope)>& aIsAskedFor) const;
-  /// @return tokens of all parts that are known at a store.
+    const std::function<bool(std::string_view aScope)>& aMatches) const;
+  /// @return total tokens of all known parts at a store.
   [[nodiscard]] std::uint64_t TokensKept(const StoreId& aStore) const;
 
 private:
   struct Store
   {
     std::uint64_t epoch = 0;
-    std::optional<Instant> heard;
+    std::optional<Instant> last_answer;
     std::unordered_map<std::string, std::uint64_t> tokens;
-    std::uint64_t kept = 0;
+    std::uint64_t total_tokens = 0;
   };
 
   PartDirectoryOptions m_options;
--- a/include/jujubehead/core/context/part_log.hpp
+++ b/include/jujubehead/core/context/part_log.hpp
@@ -17,7 +17,7 @@
 
 namespace jujubehead::core {
 
-/// @brief A part as a store has it now; no tokens: it is gone.
+/// @brief The current state of a part at a store; 0 tokens: removed.
 struct PartChange
 {
   StoreId store;
@@ -26,55 +26,57 @@
   std::uint64_t tokens = 0;
 };
 
-/// Longer than anyone believes what a store told.
+/// Age reported for an unreachable store; longer than any trust time.
 inline constexpr Duration kSilentAge = std::chrono::hours(1);
 
-/// @brief A store as the one who watches it heard it last.
+/// @brief A store's status as last seen by the instance that watches it.
 struct HeardStore
 {
   StoreId store;
   std::uint64_t epoch = 0;
-  Duration age{}; ///< Since its last answer; kSilentAge: it fell silent.
+  Duration age{}; ///< Since its last answer; kSilentAge: unreachable.
 };
 
-/// @brief How far someone has read a PartLog.
+/// @brief A reader's position in a PartLog.
 struct PartCursor
 {
-  std::uint64_t next = 0; ///< Where to go on; 0: nothing was read.
-  /// The log's end when the asker had read nothing, or had last read all: what
-  /// went since then must still be told.
+  std::uint64_t next = 0; ///< Position of the last entry read; 0: none.
+  /// The log's end when the reader started or last caught up. Removals since
+  /// then must still be delivered.
   std::uint64_t since = 0;
 };
 
-/// @brief What changed after a place in a PartLog, at most so much at once.
+/// @brief One page of the changes after a position in a PartLog.
 struct PartNews
 {
   PartCursor cursor;
-  bool has_more = false; ///< There is more to be read at once.
-  /// All parts are told anew, from the first one on; what is not among them and
-  /// what follows is not there.
+  bool has_more = false; ///< More can be read immediately.
+  /// Starts a snapshot: parts that are neither on this page nor on the ones
+  /// that follow it are absent.
   bool is_all = false;
-  std::vector<HeardStore> stores; ///< All that ever answered.
+  std::vector<HeardStore> stores; ///< All that have ever answered.
   std::vector<PartChange> changes;
 };
 
 /// @brief Bounds of a PartLog.
 struct PartLogOptions
 {
-  /// Parts that went are remembered up to this number; one that asks for older
-  /// changes is told all parts anew.
-  std::size_t most_gone = 4000;
-  /// Parts told at once, of some 20 bytes each: the whole list at once, asked
-  /// for by all who lost their hub, takes a small instance's link for longer
-  /// than they wait, so they would go from hub to hub and ask for it again.
-  std::size_t most_at_once = 400;
+  /// Removed parts kept in the log; a reader that asks for older changes gets
+  /// a snapshot.
+  std::size_t max_removed = 4000;
+  /// Changes in one page, of some 20 bytes each. When a hub fails, all its
+  /// readers ask another one for a snapshot. Sent in one piece, it would occupy
+  /// a small instance's link for longer than their time-out, so they would move
+  /// from hub to hub and ask for it again.
+  std::size_t max_page_size = 400;
 };
 
-/// @brief What an instance that watches the stores tells the others, so that
-/// not each of them takes one of the few calls that a store holds.
+/// @brief Compacted change log by which a hub, an instance that watches the
+/// stores, informs the others, so that they do not each use one of the few
+/// concurrent calls that a store allows.
 ///
-/// A part appears once, at the place of its last change, so the log is no
-/// longer than the parts that there are.
+/// A part appears once, at the position of its last change, so the log's length
+/// is bounded by the number of parts.
 class PartLog
 {
 public:
@@ -83,13 +85,13 @@
   void OnPage(const StoreId& aStore, const PartEventPage& aPage, Instant aNow);
   void OnSilence(const StoreId& aStore);
 
-  /// @brief Forgets the parts of scopes that are asked for, without telling it:
-  /// those that ask here forget them by the same rule. When weights are
-  /// replaced all parts of the old ones go at once, and to name each of them to
-  /// each asker takes a hub's whole time (metastable overload: askers that
-  /// time out go to the next hub and begin with all of its parts).
-  void DropWhere(const std::function<bool(std::string_view aScope)>& aIsAsked);
-  /// @param aCursor where the asker stands.
+  /// @brief Drops the parts of all scopes that match, without logging removals:
+  /// readers drop them by the same rule. When weights are replaced, all parts
+  /// of the old version go at once; to send each removal to each reader would
+  /// saturate the hub (metastable overload: readers that time out move to the
+  /// next hub and begin with a snapshot).
+  void DropWhere(const std::function<bool(std::string_view aScope)>& aMatches);
+  /// @param aCursor the reader's position.
   [[nodiscard]] PartNews ReadAfter(const PartCursor& aCursor,
                                    Instant aNow) const;
 
@@ -97,20 +99,21 @@
   struct Store
   {
     std::uint64_t epoch = 0;
-    std::optional<Instant> heard;
-    std::unordered_map<std::string, std::uint64_t> places; ///< By scope, part.
+    std::optional<Instant> last_answer;
+    /// By scope and part.
+    std::unordered_map<std::string, std::uint64_t> positions;
   };
 
   void Put(Store& aStore, PartChange aChange);
-  void Forget(Store& aStore);
-  void DropOldestGone();
+  void Clear(Store& aStore);
+  void DropOldestRemoved();
 
   PartLogOptions m_options;
   std::map<StoreId, Store> m_stores;
-  std::map<std::uint64_t, PartChange> m_changes; ///< By place.
-  std::map<std::uint64_t, std::string> m_gone;   ///< Places of parts that went.
+  std::map<std::uint64_t, PartChange> m_changes;  ///< By position.
+  std::map<std::uint64_t, std::string> m_removed; ///< Keys of removed parts.
   std::uint64_t m_last = 0;
-  std::uint64_t m_dropped = 0; ///< The newest place that was dropped.
+  std::uint64_t m_dropped = 0; ///< The newest position that was dropped.
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/context/part_uses.hpp
+++ b/include/jujubehead/core/context/part_uses.hpp
@@ -9,28 +9,28 @@
 
 namespace jujubehead::core {
 
-/// @brief How often this instance's requests use each part of a prompt of late.
-/// Parts that are seldom used are forgotten, so its size follows the traffic of
-/// some ten seconds.
+/// @brief Decaying rate at which this instance's requests use each prompt part.
+/// Parts that are no longer used are evicted, so the size follows the traffic
+/// of some ten seconds.
 class PartUses
 {
 public:
-  /// @brief A request uses a part.
-  /// @return uses a second, this one included.
+  /// @brief Counts a use by a request.
+  /// @return uses per second, this one included.
   double OnUse(std::string_view aPart, Instant aNow);
   [[nodiscard]] std::size_t Size() const { return m_parts.size(); }
 
 private:
   struct Use
   {
-    double rate = 0; ///< A second, at `last`.
+    double rate = 0; ///< Uses per second at `last`.
     Instant last{};
   };
 
-  void Forget(Instant aNow);
+  void EvictUnused(Instant aNow);
 
   std::unordered_map<std::string, Use> m_parts;
-  Instant m_forgot{};
+  Instant m_last_eviction{};
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/context/prompt.hpp
+++ b/include/jujubehead/core/context/prompt.hpp
@@ -18,16 +18,17 @@
   friend bool operator==(const PromptPart&, const PromptPart&) = default;
 };
 
-/// @brief What a request says of its prompt.
+/// @brief A prompt as described by its request.
 struct Prompt
 {
   ModelId model;
-  std::vector<PromptPart> parts; ///< In order; the last is its own.
-  std::uint64_t tokens = 0;      ///< Of all parts.
+  std::vector<PromptPart>
+    parts;                  ///< In order; the last is unique to the request.
+  std::uint64_t tokens = 0; ///< Of all parts.
   std::uint64_t max_output_tokens = 0;
 
-  /// @return the part by which a prompt that returns is known: the last that
-  /// other requests share; empty when it has no parts.
+  /// @return the id of the part that keys cache affinity: the last one shared
+  /// with other requests; empty if there are no parts.
   [[nodiscard]] const std::string& ReturningPart() const
   {
     static const std::string kNone;
--- a/src/jujubehead/core/context/cache_scope.cpp
+++ b/src/jujubehead/core/context/cache_scope.cpp
@@ -5,8 +5,8 @@
 namespace jujubehead::core {
 namespace {
 
-/// Before the version and before the account. The version has digits only, so
-/// the first slash ends it, whatever the names hold.
+/// Separates version, length of the model name, and names. The version has only
+/// digits, so the first slash ends it even if a name contains slashes.
 constexpr char kSeparator = '/';
 
 } // namespace
--- a/src/jujubehead/core/context/part_directory.cpp
+++ b/src/jujubehead/core/context/part_directory.cpp
@@ -29,22 +29,22 @@
 void
 PartDirectory::OnPage(const StoreId& aStore,
                       const PartEventPage& aPage,
-                      Instant aHeard)
+                      Instant aAnswered)
 {
   Store& store = m_stores[aStore];
   if (store.epoch != aPage.epoch || aPage.is_all) {
     store = Store{};
     store.epoch = aPage.epoch;
   }
-  store.heard = aHeard;
+  store.last_answer = aAnswered;
   for (const PartEvent& event : aPage.events) {
     const std::string key = KeyOf(event.scope, event.part);
     std::uint64_t& tokens = store.tokens[key];
-    store.kept -= tokens;
+    store.total_tokens -= tokens;
     tokens = event.tokens;
-    store.kept += tokens;
+    store.total_tokens += tokens;
     if (!event.is_kept || tokens == 0) {
-      store.kept -= tokens;
+      store.total_tokens -= tokens;
       store.tokens.erase(key);
     }
   }
@@ -55,7 +55,7 @@
 {
   const auto found = m_stores.find(aStore);
   if (found != m_stores.end()) {
-    found->second.heard.reset();
+    found->second.last_answer.reset();
   }
 }
 
@@ -71,7 +71,7 @@
   for (const ScopedPart& part : aParts) {
     const auto entry = store.tokens.find(KeyOf(part.scope, part.part));
     if (entry != store.tokens.end()) {
-      store.kept -= entry->second;
+      store.total_tokens -= entry->second;
       store.tokens.erase(entry);
     }
   }
@@ -79,14 +79,15 @@
 
 void
 PartDirectory::DropWhere(
-  const std::function<bool(std::string_view aScope)>& aIsAsked)
+  const std::function<bool(std::string_view aScope)>& aMatches)
 {
   for (auto& [id, store] : m_stores) {
-    std::erase_if(store.tokens, [&, &kept = store.kept](const auto& aEntry) {
-      const bool is_asked = aIsAsked(ScopeOf(aEntry.first));
-      kept -= is_asked ? aEntry.second : 0;
-      return is_asked;
-    });
+    std::erase_if(store.tokens,
+                  [&, &total_tokens = store.total_tokens](const auto& aEntry) {
+                    const bool matches = aMatches(ScopeOf(aEntry.first));
+                    total_tokens -= matches ? aEntry.second : 0;
+                    return matches;
+                  });
   }
 }
 
@@ -117,8 +118,8 @@
 PartDirectory::IsPresent(const StoreId& aStore, Instant aNow) const
 {
   const auto found = m_stores.find(aStore);
-  return found != m_stores.end() && found->second.heard &&
-         aNow - *found->second.heard <= m_options.trust_time;
+  return found != m_stores.end() && found->second.last_answer &&
+         aNow - *found->second.last_answer <= m_options.trust_time;
 }
 
 std::uint64_t
@@ -132,7 +133,7 @@
 PartDirectory::PartsWhere(
   const StoreId& aStore,
   std::size_t aMost,
-  const std::function<bool(std::string_view aScope)>& aIsAskedFor) const
+  const std::function<bool(std::string_view aScope)>& aMatches) const
 {
   std::vector<ScopedPart> parts;
   const auto found = m_stores.find(aStore);
@@ -144,7 +145,7 @@
       break;
     }
     const std::string_view scope = ScopeOf(key);
-    if (aIsAskedFor(scope)) {
+    if (aMatches(scope)) {
       parts.push_back({ std::string(scope), key.substr(scope.size() + 1) });
     }
   }
@@ -155,7 +156,7 @@
 PartDirectory::TokensKept(const StoreId& aStore) const
 {
   const auto found = m_stores.find(aStore);
-  return found == m_stores.end() ? 0 : found->second.kept;
+  return found == m_stores.end() ? 0 : found->second.total_tokens;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/context/part_directory_test.cpp
+++ b/src/jujubehead/core/context/part_directory_test.cpp
@@ -33,7 +33,7 @@
   }
 };
 
-TEST(PartDirectory, APageOfAllPartsReplacesWhatWasKnown)
+TEST(PartDirectory, SnapshotPageReplacesKnownParts)
 {
   PartEventPage page;
   page.epoch = 3;
@@ -47,7 +47,7 @@
   LONGS_EQUAL(10, directory.TokensKept(StoreId("one")));
 }
 
-TEST(PartDirectory, KnowsAPartOnceItsStoreSaysThatItIsWhole)
+TEST(PartDirectory, PartIsKnownOnceItsStoreReportsIt)
 {
   directory.OnPage(store, Page(1, {}), now);
   LONGS_EQUAL(0, Tokens());
@@ -59,14 +59,14 @@
   LONGS_EQUAL(0, directory.TokensKept(store));
 }
 
-TEST(PartDirectory, AStoreThatStartedAnewHasNothing)
+TEST(PartDirectory, RestartedStoreHasNoParts)
 {
   directory.OnPage(store, Page(1, { { "scope", "part", 800, true } }), now);
   directory.OnPage(store, Page(2, {}), now);
   LONGS_EQUAL(0, Tokens());
 }
 
-TEST(PartDirectory, NothingOfASilentStoreIsBelieved)
+TEST(PartDirectory, PartsOfUnreachableStoreAreHidden)
 {
   directory.OnPage(store, Page(1, { { "scope", "part", 800, true } }), now);
   now += milliseconds(1000);
@@ -77,7 +77,7 @@
   LONGS_EQUAL(0, Tokens());
 }
 
-TEST(PartDirectory, ListsAndDropsThePartsOfAScope)
+TEST(PartDirectory, ListsAndDropsPartsOfScope)
 {
   directory.OnPage(store,
                    Page(1,
@@ -95,28 +95,28 @@
 
 TEST_GROUP(CacheScope){};
 
-TEST(CacheScope, DifferentScopesHaveDifferentTexts)
+TEST(CacheScope, TextRoundTrips)
 {
   CHECK(rc::check(
-    "there and back",
+    "text round trip",
     [](const std::string& aModel,
        std::uint64_t aVersion,
        const std::string& aAccount) {
       const CacheScope scope{ ModelId(aModel), aVersion, AccountId(aAccount) };
-      const auto back = CacheScopeOf(ToText(scope));
-      RC_ASSERT(back.has_value());
-      RC_ASSERT(*back == scope);
+      const auto parsed = CacheScopeOf(ToText(scope));
+      RC_ASSERT(parsed.has_value());
+      RC_ASSERT(*parsed == scope);
     }));
 }
 
-TEST(CacheScope, OtherTextsAreNoScope)
+TEST(CacheScope, InvalidTextIsRejected)
 {
   for (const char* text : { "", "x", "1", "1/", "1/9/m", "1/1/mx", "1/1/m/" }) {
     CHECK_TEXT(!CacheScopeOf(text).has_value(), text);
   }
 }
 
-TEST(PartDirectory, ForgottenScopesLeaveTheirRoom)
+TEST(PartDirectory, DroppedScopesFreeTheirTokens)
 {
   directory.OnPage(
     store,
--- a/src/jujubehead/core/context/part_log.cpp
+++ b/src/jujubehead/core/context/part_log.cpp
@@ -24,16 +24,16 @@
 {
   Store& store = m_stores[aStore];
   if (store.epoch != aPage.epoch) {
-    // The asker empties its own picture of the store when it sees the epoch.
-    Forget(store);
+    // Readers clear their own entries of the store when they see the epoch.
+    Clear(store);
     store.epoch = aPage.epoch;
   }
-  store.heard = aNow;
+  store.last_answer = aNow;
   for (const PartEvent& event : aPage.events) {
     Put(store,
         { aStore, event.scope, event.part, event.is_kept ? event.tokens : 0 });
   }
-  DropOldestGone();
+  DropOldestRemoved();
 }
 
 void
@@ -41,20 +41,20 @@
 {
   const auto found = m_stores.find(aStore);
   if (found != m_stores.end()) {
-    found->second.heard.reset();
+    found->second.last_answer.reset();
   }
 }
 
 void
-PartLog::DropWhere(const std::function<bool(std::string_view aScope)>& aIsAsked)
+PartLog::DropWhere(const std::function<bool(std::string_view aScope)>& aMatches)
 {
   for (auto change = m_changes.begin(); change != m_changes.end();) {
-    if (!aIsAsked(change->second.scope)) {
+    if (!aMatches(change->second.scope)) {
       ++change;
       continue;
     }
-    m_stores.at(change->second.store).places.erase(KeyOf(change->second));
-    m_gone.erase(change->first);
+    m_stores.at(change->second.store).positions.erase(KeyOf(change->second));
+    m_removed.erase(change->first);
     change = m_changes.erase(change);
   }
 }
@@ -63,71 +63,72 @@
 PartLog::Put(Store& aStore, PartChange aChange)
 {
   const std::string key = KeyOf(aChange);
-  const auto known = aStore.places.find(key);
-  if (known == aStore.places.end() && aChange.tokens == 0) {
-    return; // Nobody was told of it.
+  const auto known = aStore.positions.find(key);
+  if (known == aStore.positions.end() && aChange.tokens == 0) {
+    return; // No reader knows the part.
   }
-  if (known != aStore.places.end()) {
+  if (known != aStore.positions.end()) {
     m_changes.erase(known->second);
-    m_gone.erase(known->second);
+    m_removed.erase(known->second);
   }
   ++m_last;
-  aStore.places[key] = m_last;
+  aStore.positions[key] = m_last;
   if (aChange.tokens == 0) {
-    m_gone.emplace(m_last, key);
+    m_removed.emplace(m_last, key);
   }
   m_changes.emplace(m_last, std::move(aChange));
 }
 
 void
-PartLog::Forget(Store& aStore)
+PartLog::Clear(Store& aStore)
 {
-  for (const auto& [key, place] : aStore.places) {
-    m_changes.erase(place);
-    m_gone.erase(place);
+  for (const auto& [key, position] : aStore.positions) {
+    m_changes.erase(position);
+    m_removed.erase(position);
   }
-  aStore.places.clear();
+  aStore.positions.clear();
 }
 
 void
-PartLog::DropOldestGone()
+PartLog::DropOldestRemoved()
 {
-  while (m_gone.size() > m_options.most_gone) {
-    const auto oldest = m_gone.begin();
+  while (m_removed.size() > m_options.max_removed) {
+    const auto oldest = m_removed.begin();
     m_dropped = oldest->first;
     const auto change = m_changes.find(oldest->first);
-    m_stores.at(change->second.store).places.erase(oldest->second);
+    m_stores.at(change->second.store).positions.erase(oldest->second);
     m_changes.erase(change);
-    m_gone.erase(oldest);
+    m_removed.erase(oldest);
   }
 }
 
 PartNews
 PartLog::ReadAfter(const PartCursor& aCursor, Instant aNow) const
 {
-  PartNews news;
-  news.is_all =
+  PartNews page;
+  page.is_all =
     aCursor.next == 0 || aCursor.since < m_dropped || aCursor.next > m_last;
   for (const auto& [id, store] : m_stores) {
-    const Duration age = store.heard ? aNow - *store.heard : kSilentAge;
-    news.stores.push_back({ id, store.epoch, age });
+    const Duration age =
+      store.last_answer ? aNow - *store.last_answer : kSilentAge;
+    page.stores.push_back({ id, store.epoch, age });
   }
-  news.cursor.next = m_last;
+  page.cursor.next = m_last;
   auto change =
-    news.is_all ? m_changes.begin() : m_changes.upper_bound(aCursor.next);
+    page.is_all ? m_changes.begin() : m_changes.upper_bound(aCursor.next);
   for (; change != m_changes.end(); ++change) {
-    if (news.changes.size() == m_options.most_at_once) {
-      news.cursor.next = std::prev(change)->first;
-      news.has_more = true;
+    if (page.changes.size() == m_options.max_page_size) {
+      page.cursor.next = std::prev(change)->first;
+      page.has_more = true;
       break;
     }
-    if (!news.is_all || change->second.tokens > 0) {
-      news.changes.push_back(change->second);
+    if (!page.is_all || change->second.tokens > 0) {
+      page.changes.push_back(change->second);
     }
   }
-  const bool is_under_way = news.has_more && !news.is_all;
-  news.cursor.since = is_under_way ? aCursor.since : m_last;
-  return news;
+  const bool is_partial = page.has_more && !page.is_all;
+  page.cursor.since = is_partial ? aCursor.since : m_last;
+  return page;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/context/part_log_test.cpp
+++ b/src/jujubehead/core/context/part_log_test.cpp
@@ -22,7 +22,7 @@
   return page;
 }
 
-/// What someone who follows a log knows of one store.
+/// A reader of a log and its parts of one store.
 struct Follower
 {
   PartCursor cursor;
@@ -30,7 +30,7 @@
   std::uint64_t epoch = 0;
   std::map<std::string, std::uint64_t> parts;
 
-  void ReadAll(const PartLog& aLog)
+  void ReadToEnd(const PartLog& aLog)
   {
     do {
       Read(aLog);
@@ -38,19 +38,19 @@
   }
   void Read(const PartLog& aLog)
   {
-    const PartNews news = aLog.ReadAfter(cursor, kNow);
-    cursor = news.cursor;
-    has_more = news.has_more;
-    if (news.is_all) {
+    const PartNews page = aLog.ReadAfter(cursor, kNow);
+    cursor = page.cursor;
+    has_more = page.has_more;
+    if (page.is_all) {
       parts.clear();
     }
-    for (const HeardStore& store : news.stores) {
+    for (const HeardStore& store : page.stores) {
       if (store.epoch != epoch) {
         parts.clear();
         epoch = store.epoch;
       }
     }
-    for (const PartChange& change : news.changes) {
+    for (const PartChange& change : page.changes) {
       if (change.tokens > 0) {
         parts[change.part] = change.tokens;
       } else {
@@ -67,7 +67,7 @@
   const StoreId store = StoreId("s1");
 };
 
-TEST(PartLog, ItTellsWhatChangedSince)
+TEST(PartLog, ReturnsChangesAfterCursor)
 {
   PartLog log;
   log.OnPage(store, Page(7, { { "w1", "a", 100, true } }), kNow);
@@ -83,7 +83,7 @@
   STRCMP_EQUAL("b", second.changes.at(0).part.c_str());
 }
 
-TEST(PartLog, AStoreThatFellSilentIsToldAsSuch)
+TEST(PartLog, ReportsUnreachableStore)
 {
   PartLog log;
   log.OnPage(store, Page(7, {}), kNow);
@@ -93,10 +93,10 @@
   CHECK(log.ReadAfter({}, kNow).stores.at(0).age == milliseconds(0));
 }
 
-TEST(PartLog, OneWhoStandsBeforeWhatWasDroppedIsToldAll)
+TEST(PartLog, CursorBeforeDroppedRemovalsGetsSnapshot)
 {
   PartLogOptions options;
-  options.most_gone = 1;
+  options.max_removed = 1;
   PartLog log(options);
   log.OnPage(store,
              Page(7,
@@ -107,14 +107,14 @@
   const PartCursor cursor = log.ReadAfter({}, kNow).cursor;
   log.OnPage(
     store, Page(7, { { "w1", "a", 0, false }, { "w1", "b", 0, false } }), kNow);
-  const PartNews news = log.ReadAfter(cursor, kNow);
-  CHECK(news.is_all);
-  LONGS_EQUAL(1, news.changes.size());
-  STRCMP_EQUAL("c", news.changes.at(0).part.c_str());
+  const PartNews page = log.ReadAfter(cursor, kNow);
+  CHECK(page.is_all);
+  LONGS_EQUAL(1, page.changes.size());
+  STRCMP_EQUAL("c", page.changes.at(0).part.c_str());
 }
 
-// All who lost their hub at once ask another one for all parts.
-TEST(PartLog, ALongListIsToldInPieces)
+// When a hub fails, all its readers ask another one for a snapshot at once.
+TEST(PartLog, LongSnapshotIsPaged)
 {
   PartLog log;
   std::vector<PartEvent> events;
@@ -124,41 +124,41 @@
   }
   log.OnPage(store, Page(7, events), kNow);
   Follower follower;
-  int pieces = 0;
+  int pages = 0;
   do {
     const std::size_t before = follower.parts.size();
     follower.Read(log);
-    CHECK(follower.parts.size() - before <= PartLogOptions{}.most_at_once);
-    ++pieces;
-    // What goes on meanwhile does not begin it anew.
+    CHECK(follower.parts.size() - before <= PartLogOptions{}.max_page_size);
+    ++pages;
+    // Changes between pages do not restart the snapshot.
     log.OnPage(store,
-               Page(7, { { "w1", "p" + std::to_string(pieces), 0, false } }),
+               Page(7, { { "w1", "p" + std::to_string(pages), 0, false } }),
                kNow);
-  } while (follower.has_more && pieces < 100);
-  follower.ReadAll(log);
-  LONGS_EQUAL(5000 - pieces, follower.parts.size());
+  } while (follower.has_more && pages < 100);
+  follower.ReadToEnd(log);
+  LONGS_EQUAL(5000 - pages, follower.parts.size());
 }
 
-TEST(PartLog, OneWhoComesFromAnotherLogIsToldAll)
+TEST(PartLog, CursorOfAnotherLogGetsSnapshot)
 {
   PartLog log;
   log.OnPage(store, Page(7, { { "w1", "a", 100, true } }), kNow);
   CHECK(log.ReadAfter({ 999, 999 }, kNow).is_all);
 }
 
-TEST(PartLog, WhoeverFollowsKnowsWhatTheDirectoryKnows)
+TEST(PartLog, ReadersConvergeToTheStoresParts)
 {
   const bool holds = rc::check([] {
     PartLogOptions options;
-    options.most_gone = 3;
-    options.most_at_once = 2;
+    options.max_removed = 3;
+    options.max_page_size = 2;
     PartLog log(options);
     const StoreId id("s1");
     std::uint64_t epoch = 1;
     std::map<std::string, std::uint64_t> truth;
-    Follower often;
-    Follower seldom;
-    Follower slow; // reads while more goes on
+    Follower frequent;
+    Follower infrequent;
+    Follower slow; // one page per step, while changes go on
     const auto steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
       const auto kind = *rc::gen::inRange(0, 10);
@@ -176,11 +176,11 @@
         truth[part] = tokens;
         log.OnPage(id, Page(epoch, { { "w", part, tokens, true } }), kNow);
       }
-      often.ReadAll(log);
-      RC_ASSERT(often.parts == truth);
+      frequent.ReadToEnd(log);
+      RC_ASSERT(frequent.parts == truth);
       if (i % 7 == 6) {
-        seldom.ReadAll(log);
-        RC_ASSERT(seldom.parts == truth);
+        infrequent.ReadToEnd(log);
+        RC_ASSERT(infrequent.parts == truth);
       }
       slow.Read(log);
       RC_ASSERT(slow.has_more || slow.parts == truth);
@@ -189,32 +189,33 @@
   CHECK(holds);
 }
 
-// Metastable overload: all parts of replaced weights go at once. To name each
-// of them would make everyone who asks begin anew with the whole list.
-TEST(PartLog, PartsOfForgottenScopesAreNotNamedOneByOne)
+// Metastable overload: when weights are replaced, all parts of the old version
+// go at once. Logging each removal would make every reader start over with a
+// snapshot.
+TEST(PartLog, RemovalsOfDroppedScopesAreNotLogged)
 {
   PartLogOptions options;
-  options.most_gone = 10;
+  options.max_removed = 10;
   PartLog log(options);
   constexpr int kMany = 200;
-  std::vector<PartEvent> kept;
-  std::vector<PartEvent> freed;
+  std::vector<PartEvent> stored;
+  std::vector<PartEvent> removed;
   for (int i = 0; i < kMany; ++i) {
     const std::string part = "p" + std::to_string(i);
-    kept.push_back({ "old", part, 100, true });
-    freed.push_back({ "old", part, 0, false });
+    stored.push_back({ "old", part, 100, true });
+    removed.push_back({ "old", part, 0, false });
   }
-  kept.push_back({ "new", "n", 100, true });
-  log.OnPage(store, Page(1, kept), kNow);
+  stored.push_back({ "new", "n", 100, true });
+  log.OnPage(store, Page(1, stored), kNow);
   Follower follower;
-  follower.ReadAll(log);
+  follower.ReadToEnd(log);
   LONGS_EQUAL(kMany + 1, follower.parts.size());
   log.DropWhere([](std::string_view aScope) { return aScope == "old"; });
-  log.OnPage(store, Page(1, freed), kNow);
-  const PartNews news = log.ReadAfter(follower.cursor, kNow);
-  CHECK_FALSE(news.is_all);
-  CHECK(news.changes.empty());
-  Follower later;
-  later.ReadAll(log);
-  LONGS_EQUAL(1, later.parts.size());
+  log.OnPage(store, Page(1, removed), kNow);
+  const PartNews page = log.ReadAfter(follower.cursor, kNow);
+  CHECK_FALSE(page.is_all);
+  CHECK(page.changes.empty());
+  Follower newcomer;
+  newcomer.ReadToEnd(log);
+  LONGS_EQUAL(1, newcomer.parts.size());
 }
--- a/src/jujubehead/core/context/part_uses.cpp
+++ b/src/jujubehead/core/context/part_uses.cpp
@@ -8,33 +8,33 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Over which uses are averaged.
-constexpr Seconds kMeanTime{ 5.0 };
-/// A part without a use for so long counts for nothing any more.
-constexpr Duration kForgetTime = std::chrono::seconds(15);
+/// Time constant of the exponential moving average.
+constexpr Seconds kDecayTime{ 5.0 };
+/// A part unused for this long is evicted: its rate has decayed to almost 0.
+constexpr Duration kEvictionAge = std::chrono::seconds(15);
 
 } // namespace
 
 double
 PartUses::OnUse(std::string_view aPart, Instant aNow)
 {
-  if (aNow - m_forgot > kForgetTime) {
-    Forget(aNow);
+  if (aNow - m_last_eviction > kEvictionAge) {
+    EvictUnused(aNow);
   }
   Use& use = m_parts[std::string(aPart)];
-  use.rate *= std::exp(-(Seconds(aNow - use.last) / kMeanTime));
-  use.rate += 1 / kMeanTime.count();
+  use.rate *= std::exp(-(Seconds(aNow - use.last) / kDecayTime));
+  use.rate += 1 / kDecayTime.count();
   use.last = aNow;
   return use.rate;
 }
 
 void
-PartUses::Forget(Instant aNow)
+PartUses::EvictUnused(Instant aNow)
 {
   std::erase_if(m_parts, [&](const auto& aEntry) {
-    return aNow - aEntry.second.last > kForgetTime;
+    return aNow - aEntry.second.last > kEvictionAge;
   });
-  m_forgot = aNow;
+  m_last_eviction = aNow;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/context/part_uses_test.cpp
+++ b/src/jujubehead/core/context/part_uses_test.cpp
@@ -14,7 +14,7 @@
   Instant now = RuntimeClock::now();
 };
 
-TEST(PartUses, TheRateFollowsTheUses)
+TEST(PartUses, RateFollowsUses)
 {
   double rate = 0;
   for (int i = 0; i < 200; ++i) {
@@ -22,17 +22,18 @@
     rate = uses.OnUse("often", now);
   }
   DOUBLES_EQUAL(4, rate, 0.5);
-  CHECK(uses.OnUse("seldom", now) < 0.5);
+  CHECK(uses.OnUse("rare", now) < 0.5);
   now += seconds(10);
   CHECK(uses.OnUse("often", now) < 1);
 }
 
-TEST(PartUses, PartsThatAreNotUsedAreForgotten)
+TEST(PartUses, UnusedPartsAreEvicted)
 {
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(20);
     uses.OnUse("p" + std::to_string(i), now);
   }
-  // Of those of the last 30 s at most.
+  // Eviction runs every 15 s and removes parts unused for 15 s, so at most the
+  // parts of the last 30 s are left.
   CHECK(uses.Size() <= 1500);
 }
