--- a/include/jujubehead/core/context/store_homes.hpp
+++ b/include/jujubehead/core/context/store_homes.hpp
@@ -11,7 +11,7 @@
 
 namespace jujubehead::core {
 
-/// @brief What the choice of a part's store weighs of one store.
+/// @brief Properties of a store that decide which parts it holds.
 struct StoreFacts
 {
   std::uint64_t name_hash = 0; ///< Of the store's id; see PlacementHash().
@@ -20,24 +20,25 @@
   LinkRate rate;
 };
 
-/// @brief A store in which a part may lie.
+/// @brief A store that may hold a part.
 struct StoreHome
 {
   std::size_t index = 0; ///< Of the store.
-  std::size_t kind = 0;  ///< The same for stores that are alike; 0 suits best.
+  std::size_t kind = 0;  ///< Equal for equivalent stores; 0 is preferred.
 };
 
-/// @brief Finds the stores in which a part may lie, in the order in which it is
-/// kept there. Instances agree on them without asking each other.
+/// @brief Finds the stores that may hold a part, in order of preference.
+/// Instances compute the same stores without communicating.
 ///
-/// A store suits a part whose bytes take longer than what the store adds to
-/// each transfer. Of those that suit, the slowest to begin goes first: long
-/// parts leave the room of quick stores to short ones, which would spend most
-/// of their time in a slow store on its beginning. Among equal stores a part
-/// has one home in each data centre, by hash and capacity: so it can be kept
-/// near the target that has it, and is still found by few look-ups.
-/// @param aPart the hash of the part's id.
-/// @return a few homes, those of the best kind first.
+/// A store is suitable if the part's bytes take longer to transfer than the
+/// store's fixed latency. Of the suitable stores, the one with the highest
+/// latency goes first: long parts leave the capacity of low-latency stores to
+/// short ones, whose transfer from a slow store would be mostly latency. Among
+/// equivalent stores a part has one home in each data centre, by weighted
+/// rendezvous hashing: so it can be stored near the target that has it, and is
+/// still found by few look-ups.
+/// @param aPart hash of the part's id.
+/// @return a few homes, those of the preferred kind first.
 std::vector<StoreHome>
 StoreHomes(std::uint64_t aPart,
            const TransferSize& aSize,
--- a/include/jujubehead/core/context/store_link.hpp
+++ b/include/jujubehead/core/context/store_link.hpp
@@ -8,25 +8,26 @@
 
 namespace jujubehead::core {
 
-/// @brief The part of a service's requests that this instance sends, as a
-/// moving mean over what its targets told. It needs no message between
-/// instances and follows instances of unequal size, and those that come and go.
+/// @brief The share of a service's requests that this instance sends, as a
+/// moving average of the loads its targets report. It needs no messages between
+/// instances, and it adapts to instances of unequal size and to instances that
+/// join or leave.
 class TrafficShare
 {
 public:
   /// @param aOwn requests of this instance at the targets now.
-  /// @param aAll requests of all instances there.
+  /// @param aAll requests of all instances at these targets.
   void OnLook(double aOwn, double aAll);
-  /// @return above 0, at most 1; a quarter before the first look.
+  /// @return above 0, at most 1; a quarter before the first sample.
   [[nodiscard]] double Value() const;
 
 private:
-  // A start in the middle of traffic sees none of its own requests at first.
+  // An instance that starts under traffic has no requests at the targets yet.
   double m_own = 1;
   double m_all = 4;
 };
 
-/// @brief What a transfer over a store's link is made of.
+/// @brief Size and distance of a transfer over a store's link.
 struct TransferSize
 {
   std::uint64_t tokens = 0;
@@ -34,11 +35,11 @@
   bool is_far = false; ///< To or from a target in another data centre.
 };
 
-/// @brief What is declared of a store's link.
+/// @brief Declared rate and latency of a store's link.
 struct LinkRate
 {
-  double bytes_per_second = 0; ///< 0: not told.
-  Duration first_delay{};      ///< Of each transfer, beside its bytes.
+  double bytes_per_second = 0; ///< 0: unknown.
+  Duration first_delay{};      ///< Fixed latency of each transfer.
 
   friend bool operator==(const LinkRate&, const LinkRate&) = default;
   friend bool operator<(const LinkRate& aOne, const LinkRate& aOther)
@@ -48,53 +49,55 @@
   }
 };
 
-/// @return for how long a transfer keeps the link busy; none where the rate or
-/// the weight of a token is not told.
+/// @return how long a transfer occupies the link; 0 if the rate or the bytes
+/// per token are unknown.
 Duration
 LinkTime(const TransferSize& aSize, const LinkRate& aRate);
 
-/// @brief What this instance ordered over a store's link, or over those of all
-/// stores that are alike, and is not over yet, by its own count.
+/// @brief Estimated backlog of this instance's transfers over a store's link,
+/// or over the links of all equivalent stores.
 ///
-/// A link carries one transfer after another, for all instances, and nobody
-/// tells how many wait. Each instance keeps to its share of the link's time, as
-/// its part of the traffic: so all of them together order no more than the link
-/// carries, and the wait there stays bounded whatever comes. The pattern: a
-/// queue on a shared link that holds itself up (metastable failure), as each
-/// request waits for those before it, long after what began it is over.
+/// A link carries the transfers of all instances one after another, and the
+/// queue's length is not reported. Each instance limits itself to a share of
+/// the link's time equal to its share of the traffic. So all of them together
+/// request no more than the link carries, and the wait stays bounded under any
+/// load. This prevents a metastable failure: a queue on the shared link that
+/// outlives the burst that caused it, because each request waits for those
+/// before it.
 class StoreLink
 {
 public:
-  /// @brief A transfer was ordered.
+  /// @brief A transfer was requested.
   void Add(Duration aLinkTime, double aShare, Instant aNow);
-  /// @return the time until what was ordered is over, at that share of the
-  /// link. It is more than what a transfer then waits, as the time that other
-  /// instances leave unused counts for nothing.
+  /// @return the time until all requested transfers are done, at that share of
+  /// the link. It overestimates the wait of a transfer, because it ignores
+  /// link time that other instances leave unused.
   [[nodiscard]] Duration Wait(double aShare, Instant aNow) const;
 
 private:
-  [[nodiscard]] double Left(double aShare, Instant aNow) const;
+  [[nodiscard]] double RemainingSeconds(double aShare, Instant aNow) const;
 
-  double m_seconds = 0; ///< Of the link's time, at `m_at`.
-  Instant m_at{};
+  double m_backlog_seconds = 0; ///< Backlog in link time, at `m_updated_at`.
+  Instant m_updated_at{};
 };
 
-/// @brief What decides whether a transfer is ordered.
+/// @brief Inputs of the decision whether to request a transfer.
 struct TransferOffer
 {
   Duration wait{};      ///< On the link, by StoreLink::Wait().
-  Duration transfer{};  ///< With what is added to each.
-  Duration objective{}; ///< Of the request, to its first token.
+  Duration transfer{};  ///< With the fixed latency.
+  Duration objective{}; ///< Time to first token of the request.
 };
 
-/// @return whether a part is brought from a store that has it, rather than read
-/// anew: a target's time is all its requests' time, so only a link that would
-/// make the request late is passed over.
+/// @return whether to read a part from a store that has it rather than prefill
+/// it again: prefill delays all requests of the target, so a store is skipped
+/// only if its link would make this request late.
 [[nodiscard]] bool
 IsWorthReading(const TransferOffer& aOffer);
 
-/// @return whether a part is kept at a store that does not have it. Nobody
-/// waits for that, but reads wait behind it; so it takes what reads leave.
+/// @return whether to write a part to a store that does not have it. No request
+/// waits for a write, but reads queue behind it, so writes use only the time
+/// that reads leave.
 [[nodiscard]] bool
 IsWorthKeeping(const TransferOffer& aOffer);
 
--- a/include/jujubehead/core/context/watch_pace.hpp
+++ b/include/jujubehead/core/context/watch_pace.hpp
@@ -8,38 +8,40 @@
 
 namespace jujubehead::core {
 
-/// @brief Who watches a store, and how many of them it serves at once.
+/// @brief The instances that watch a store, and its limit on concurrent calls.
 struct Watchers
 {
   std::size_t instances = 1;
-  std::uint32_t most_at_once = 12; ///< Calls that the store holds at once.
+  std::uint32_t max_concurrent = 12; ///< Calls that the store holds open.
 };
 
-/// @brief Times of the calls that watch a store.
+/// @brief Timing of the long polls that watch a store.
 struct WatchPaceOptions
 {
-  /// Events of this time come in one answer; each answer costs a wake-up.
-  Duration least_pause = std::chrono::milliseconds(120);
-  /// With a call's own wait below the time for which a store is believed.
-  Duration longest_pause = std::chrono::milliseconds(600);
+  /// Batches events: each answer costs a wake-up.
+  Duration min_pause = std::chrono::milliseconds(120);
+  /// With the call's own wait, below the trust time of PartDirectoryOptions.
+  Duration max_pause = std::chrono::milliseconds(600);
   /// Wait for events while the store can hold a call of each instance.
-  Duration usual_wait = std::chrono::milliseconds(500);
-  /// The shortest wait that is not a probe: so that more instances get a turn.
-  Duration crowded_wait = std::chrono::milliseconds(200);
-  /// Of the store's calls that are used on average; instances call at any time,
-  /// so that some come together.
-  double used_share = 0.6;
+  Duration default_wait = std::chrono::milliseconds(500);
+  /// Wait under contention: the shortest that does not count as a probe, so
+  /// that more instances get a turn.
+  Duration contended_wait = std::chrono::milliseconds(200);
+  /// Mean utilization of the store's call slots. Below 1, because instances do
+  /// not coordinate their calls, so that some coincide.
+  double target_utilization = 0.6;
 };
 
-/// @return how long a call waits for events.
+/// @return how long a long poll waits for events.
 Duration
 WatchWait(const Watchers& aWatchers, const WatchPaceOptions& aOptions = {});
 
-/// @brief All instances watch each store, which holds only few calls at once.
-/// A call that is held for H, after a pause P, takes H / (H + P) of a place;
-/// the pause is such that all instances' calls fit.
+/// @brief Paces the long polls of all instances that watch a store, which holds
+/// only a few calls open at a time. A call that is held for H, after a pause P,
+/// uses H / (H + P) of a slot; the pause is chosen so that the calls of all
+/// instances fit.
 /// @param aHeld how long the store held the last call.
-/// @return the time until the next call.
+/// @return the pause before the next call.
 Duration
 WatchPause(Duration aHeld,
            const Watchers& aWatchers,
--- a/src/jujubehead/core/context/store_homes_test.cpp
+++ b/src/jujubehead/core/context/store_homes_test.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::uint64_t kTokenBytes = 100000;
-constexpr LinkRate kSlowToBegin{ 2e10, milliseconds(6) };
-constexpr LinkRate kQuick{ 8e10, microseconds(500) };
+constexpr LinkRate kHighLatency{ 2e10, milliseconds(6) };
+constexpr LinkRate kLowLatency{ 8e10, microseconds(500) };
 
 StoreFacts
 Store(const std::string& aName,
@@ -30,9 +30,9 @@
 TEST_GROUP(StoreHomes)
 {
   std::vector<StoreFacts> stores = {
-    Store("q1", "a", kQuick),       Store("q2", "b", kQuick),
-    Store("l1", "a", kSlowToBegin), Store("l2", "a", kSlowToBegin),
-    Store("l3", "b", kSlowToBegin),
+    Store("q1", "a", kLowLatency),  Store("q2", "b", kLowLatency),
+    Store("l1", "a", kHighLatency), Store("l2", "a", kHighLatency),
+    Store("l3", "b", kHighLatency),
   };
 
   std::vector<StoreHome> Homes(int aPart, std::uint64_t aTokens)
@@ -43,18 +43,18 @@
   }
 };
 
-TEST(StoreHomes, LongPartsLeaveTheQuickStoresToShortOnes)
+TEST(StoreHomes, LongPartsLeaveLowLatencyStoresToShortOnes)
 {
-  // 5,000 tokens take 25 ms in the slow store, 500 take 2.5 ms.
+  // At the high-latency store (6 ms) 5,000 tokens take 25 ms, 500 take 2.5 ms.
   CHECK(Homes(1, 5000).front().index >= 2);
   CHECK(Homes(1, 500).front().index < 2);
-  // The others come after, for when these are full.
+  // The other kind follows, for when these are full.
   CHECK(Homes(1, 5000).back().index < 2);
   CHECK(Homes(1, 500).back().index >= 2);
   CHECK(Homes(1, 500).back().kind > Homes(1, 500).front().kind);
 }
 
-TEST(StoreHomes, APartHasOneHomeOfAKindInEachDataCentre)
+TEST(StoreHomes, OneHomeOfEachKindPerDataCentre)
 {
   std::map<std::size_t, int> first;
   for (int part = 0; part < 300; ++part) {
@@ -65,11 +65,11 @@
     LONGS_EQUAL(homes[0].kind, homes[1].kind);
     ++first[homes[0].index];
   }
-  // Stores that are alike share the parts.
+  // Equivalent stores share the parts.
   CHECK(first[2] > 60 && first[3] > 60 && first[4] > 60);
 }
 
-TEST(StoreHomes, StoresThatTellNothingOfTheirLinksAreAlike)
+TEST(StoreHomes, StoresWithUnknownLinksAreEquivalent)
 {
   for (StoreFacts& store : stores) {
     store.rate = {};
--- a/src/jujubehead/core/context/store_link.cpp
+++ b/src/jujubehead/core/context/store_link.cpp
@@ -8,15 +8,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Weight of one look: some fifty requests, a few seconds of an instance.
-constexpr double kLookWeight = 0.02;
-/// An instance without traffic still sends a request now and then.
-constexpr double kLeastShare = 0.001;
+/// Weight of one sample: averages over some fifty requests, a few seconds of an
+/// instance's traffic.
+constexpr double kSampleWeight = 0.02;
+/// Not 0, because an almost idle instance still sends some requests.
+constexpr double kMinShare = 0.001;
 /// A transfer between data centres takes this many times as long.
-constexpr double kFarTimes = 2;
-/// How many times the objective the own count may reach before a part is read
-/// anew. The true wait is a part of it.
-constexpr double kReadTimes = 2;
+constexpr double kCrossDataCentreFactor = 2;
+/// How many times the objective the estimated time of a read may reach before
+/// the part is prefilled again. The actual wait is shorter than the estimate.
+constexpr double kMaxReadFactor = 2;
 
 Duration
 ToDuration(double aSeconds)
@@ -29,14 +30,14 @@
 void
 TrafficShare::OnLook(double aOwn, double aAll)
 {
-  m_own += kLookWeight * (aOwn - m_own);
-  m_all += kLookWeight * (aAll - m_all);
+  m_own += kSampleWeight * (aOwn - m_own);
+  m_all += kSampleWeight * (aAll - m_all);
 }
 
 double
 TrafficShare::Value() const
 {
-  return std::clamp(m_own / std::max(m_all, kLeastShare), kLeastShare, 1.0);
+  return std::clamp(m_own / std::max(m_all, kMinShare), kMinShare, 1.0);
 }
 
 Duration
@@ -47,36 +48,38 @@
   }
   const double bytes =
     static_cast<double>(aSize.tokens) * static_cast<double>(aSize.token_bytes);
-  const double times = aSize.is_far ? kFarTimes : 1;
-  return ToDuration(times * bytes / aRate.bytes_per_second);
+  const double factor = aSize.is_far ? kCrossDataCentreFactor : 1;
+  return ToDuration(factor * bytes / aRate.bytes_per_second);
 }
 
 double
-StoreLink::Left(double aShare, Instant aNow) const
+StoreLink::RemainingSeconds(double aShare, Instant aNow) const
 {
-  const double passed = std::max(0.0, Seconds(aNow - m_at).count());
-  return std::max(0.0, m_seconds - aShare * passed);
+  const double elapsed = std::max(0.0, Seconds(aNow - m_updated_at).count());
+  return std::max(0.0, m_backlog_seconds - aShare * elapsed);
 }
 
 void
 StoreLink::Add(Duration aLinkTime, double aShare, Instant aNow)
 {
-  m_seconds = Left(aShare, aNow) + Seconds(aLinkTime).count();
-  m_at = aNow;
+  m_backlog_seconds =
+    RemainingSeconds(aShare, aNow) + Seconds(aLinkTime).count();
+  m_updated_at = aNow;
 }
 
 Duration
 StoreLink::Wait(double aShare, Instant aNow) const
 {
-  return ToDuration(Left(aShare, aNow) / aShare);
+  return ToDuration(RemainingSeconds(aShare, aNow) / aShare);
 }
 
 bool
 IsWorthReading(const TransferOffer& aOffer)
 {
-  const auto took =
+  const auto total =
     static_cast<double>((aOffer.wait + aOffer.transfer).count());
-  return took <= kReadTimes * static_cast<double>(aOffer.objective.count());
+  return total <=
+         kMaxReadFactor * static_cast<double>(aOffer.objective.count());
 }
 
 bool
--- a/src/jujubehead/core/context/store_link_test.cpp
+++ b/src/jujubehead/core/context/store_link_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Instances that order transfers over one link, which carries one after the
-/// other.
+/// Instances that request transfers over one link, which carries them one after
+/// another.
 class SharedLink
 {
 public:
@@ -23,11 +23,11 @@
   {
   }
 
-  /// Requests come at a rate of so many times what the link carries.
-  void Run(Duration aTime, double aTimes)
+  /// @param aLoad rate of requests, relative to the link's capacity.
+  void Run(Duration aTime, double aLoad)
   {
     const Instant end = m_now + aTime;
-    std::exponential_distribution<double> gap(aTimes / kTransferSeconds);
+    std::exponential_distribution<double> gap(aLoad / kTransferSeconds);
     for (;;) {
       m_now += std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(gap(m_random)));
@@ -35,7 +35,7 @@
         m_now = end;
         return;
       }
-      Order(m_random() % m_instances.size());
+      Request(m_random() % m_instances.size());
     }
   }
 
@@ -48,7 +48,7 @@
   static constexpr double kTransferSeconds = 0.04;
   static constexpr Duration kTransfer = milliseconds(40);
 
-  void Order(std::size_t aInstance)
+  void Request(std::size_t aInstance)
   {
     const double share = 1.0 / static_cast<double>(m_instances.size());
     StoreLink& link = m_instances[aInstance];
@@ -67,16 +67,16 @@
   bool m_is_bounded;
   std::mt19937 m_random{ 1 };
   Instant m_now{ seconds(1000) };
-  Instant m_free{}; ///< When the link has carried all that was ordered.
+  Instant m_free{}; ///< When the link has done all requested transfers.
 };
 
 } // namespace
 
 TEST_GROUP(StoreLink){};
 
-// Metastable failure: a burst of twice what the link carries, for five seconds,
-// then nine tenths of it. Without a bound the queue outlives the burst.
-TEST(StoreLink, AQueueOnASharedLinkEndsWithWhatBeganIt)
+// Metastable failure: a load of twice the link's capacity for five seconds,
+// then of nine tenths of it. Without a bound the queue outlives the burst.
+TEST(StoreLink, QueueOnSharedLinkEndsWithTheBurst)
 {
   for (const std::size_t instances : { 1U, 8U, 77U }) {
     SharedLink bounded(instances, true);
@@ -91,7 +91,7 @@
   CHECK(unbounded.Wait() > seconds(3));
 }
 
-TEST(StoreLink, WhatWasOrderedIsOverAtTheShareOfTheLink)
+TEST(StoreLink, BacklogDrainsAtTheShareOfTheLink)
 {
   StoreLink link;
   const Instant now = RuntimeClock::now();
@@ -101,7 +101,7 @@
   CHECK(link.Wait(0.25, now + seconds(1)) == Duration(0));
 }
 
-TEST(StoreLink, KeepingTakesWhatReadsLeave)
+TEST(StoreLink, WritesHaveLowerPriorityThanReads)
 {
   TransferOffer offer;
   offer.objective = milliseconds(600);
@@ -113,7 +113,7 @@
   CHECK_FALSE(IsWorthReading(offer));
 }
 
-TEST(StoreLink, TheLinkTimeFollowsWhatIsDeclared)
+TEST(StoreLink, LinkTimeFollowsDeclaredRate)
 {
   const LinkRate rate{ 1e9, milliseconds(6) };
   CHECK(LinkTime({ 1000, 100000, false }, rate) == milliseconds(100));
@@ -122,11 +122,11 @@
   CHECK(LinkTime({ 1000, 100000, false }, {}) == Duration(0));
 }
 
-TEST(StoreLink, TheShareFollowsTheTrafficAndIsNeverNone)
+TEST(StoreLink, ShareFollowsTrafficAndIsNeverZero)
 {
   TrafficShare share;
   DOUBLES_EQUAL(0.25, share.Value(), 0.001);
-  // A start among others sees none of its own requests.
+  // An instance that joins has no requests at the targets yet.
   share.OnLook(0, 40);
   CHECK(share.Value() > 0.1);
   for (int i = 0; i < 300; ++i) {
--- a/src/jujubehead/core/context/watch_pace.cpp
+++ b/src/jujubehead/core/context/watch_pace.cpp
@@ -5,13 +5,13 @@
 namespace jujubehead::core {
 namespace {
 
-/// @return instances that share one of the places that are used.
+/// @return the number of instances that share one of the used slots.
 double
-Crowd(const Watchers& aWatchers, const WatchPaceOptions& aOptions)
+InstancesPerSlot(const Watchers& aWatchers, const WatchPaceOptions& aOptions)
 {
-  const double places = aOptions.used_share * aWatchers.most_at_once;
+  const double slots = aOptions.target_utilization * aWatchers.max_concurrent;
   const auto instances = static_cast<double>(aWatchers.instances);
-  return places > 0 ? instances / places : instances;
+  return slots > 0 ? instances / slots : instances;
 }
 
 } // namespace
@@ -19,8 +19,8 @@
 Duration
 WatchWait(const Watchers& aWatchers, const WatchPaceOptions& aOptions)
 {
-  const bool fits = aWatchers.instances <= aWatchers.most_at_once;
-  return fits ? aOptions.usual_wait : aOptions.crowded_wait;
+  const bool fits = aWatchers.instances <= aWatchers.max_concurrent;
+  return fits ? aOptions.default_wait : aOptions.contended_wait;
 }
 
 Duration
@@ -28,14 +28,14 @@
            const Watchers& aWatchers,
            const WatchPaceOptions& aOptions)
 {
-  if (aWatchers.instances <= aWatchers.most_at_once) {
-    return aOptions.least_pause;
+  if (aWatchers.instances <= aWatchers.max_concurrent) {
+    return aOptions.min_pause;
   }
-  const double pause =
-    static_cast<double>(aHeld.count()) * (Crowd(aWatchers, aOptions) - 1);
+  const double pause = static_cast<double>(aHeld.count()) *
+                       (InstancesPerSlot(aWatchers, aOptions) - 1);
   return std::clamp(Duration(static_cast<Duration::rep>(pause)),
-                    aOptions.least_pause,
-                    aOptions.longest_pause);
+                    aOptions.min_pause,
+                    aOptions.max_pause);
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/context/watch_pace_test.cpp
+++ b/src/jujubehead/core/context/watch_pace_test.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr int kStepMs = 1;
-constexpr int kStepsOfDay = 20000;
+constexpr int kSimulatedMs = 20000;
 
-/// A store at which events come every so many ms, and its watchers: the share
-/// of their calls that found no place.
+/// Simulates the watchers of a store with periodic events.
+/// @return the share of calls refused because all slots were in use.
 double
 RefusedShare(const Watchers& aWatchers, int aEventEveryMs, bool aWithPauses)
 {
@@ -34,9 +34,9 @@
   const int wait = static_cast<int>(
     std::chrono::duration_cast<milliseconds>(WatchWait(aWatchers)).count());
   std::size_t held = 0;
-  double asked = 0;
+  double calls_made = 0;
   double refused = 0;
-  for (int now = 0; now < kStepsOfDay; now += kStepMs) {
+  for (int now = 0; now < kSimulatedMs; now += kStepMs) {
     for (Call& call : calls) {
       if (call.ends == now) {
         --held;
@@ -50,8 +50,8 @@
                  std::chrono::duration_cast<milliseconds>(pause).count())
              : 0);
       } else if (call.ends < 0 && call.next <= now) {
-        ++asked;
-        if (held >= aWatchers.most_at_once) {
+        ++calls_made;
+        if (held >= aWatchers.max_concurrent) {
           ++refused;
           call.next = now + 100;
           continue;
@@ -63,21 +63,21 @@
       }
     }
   }
-  return refused / asked;
+  return refused / calls_made;
 }
 
 } // namespace
 
 TEST_GROUP(WatchPace){};
 
-TEST(WatchPace, AFewWatchersHoldTheirCalls)
+TEST(WatchPace, FewWatchersUseTheDefaultWait)
 {
   const Watchers few{ 9, 12 };
   CHECK(WatchWait(few) == milliseconds(500));
   CHECK(WatchPause(milliseconds(500), few) == milliseconds(120));
 }
 
-TEST(WatchPace, ManyWatchersLeaveEachOtherRoom)
+TEST(WatchPace, ManyWatchersPauseLonger)
 {
   const Watchers many{ 74, 12 };
   CHECK(WatchWait(many) == milliseconds(200));
@@ -85,14 +85,14 @@
   CHECK(WatchPause(milliseconds(200), many) == milliseconds(600));
 }
 
-TEST(WatchPace, ABusyStoreTurnsFewOf74WatchersAway)
+TEST(WatchPace, BusyStoreRefusesFewCallsOf74Watchers)
 {
   const Watchers many{ 74, 12 };
   CHECK(RefusedShare(many, 40, false) > 0.5);
   CHECK(RefusedShare(many, 40, true) < 0.05);
 }
 
-TEST(WatchPace, AStoreThatTellsNoLimitIsNotDividedByZero)
+TEST(WatchPace, LimitOfZeroDoesNotDivideByZero)
 {
   CHECK(WatchPause(milliseconds(50), { 5, 0 }) >= milliseconds(120));
 }
