--- a/include/jujubehead/core/weights/old_weights.hpp
+++ b/include/jujubehead/core/weights/old_weights.hpp
@@ -15,29 +15,31 @@
 
 namespace jujubehead::core {
 
-/// Versions that are named in quick succession overlap; the ends of those
-/// before have passed.
+/// Announcements kept of a model. Versions that are announced in quick
+/// succession overlap; the deadlines of older ones have passed.
 inline constexpr std::size_t kMostNamings = 8;
 
-/// @brief When versions of a model's weights were named, on the clock of the
-/// operators' store. Instances keep it there, since their own ends must not
-/// lose it.
+/// @brief When versions of a model's weights were announced, on the clock of
+/// the operators' store. Kept in that store, so that it survives restarts of
+/// instances.
 using NamingRecord = std::map<std::uint64_t, RemoteMs>;
 
-/// @return the record as text, and back; nothing is read from what is none.
+/// @brief Converts the record to text and back; invalid text gives an empty
+/// one.
 std::string
 ToText(const NamingRecord& aRecord);
 NamingRecord
 NamingRecordOf(const std::string& aText);
 
-/// @brief Until when requests may begin on older weights, counted from when the
-/// newer ones were named, over restarts and absences of the store.
+/// @brief Deadlines until which requests may start on older weights. They count
+/// from the announcement of newer ones, across restarts of instances and
+/// outages of the operators' store.
 ///
 /// @code
 /// OldWeights weights({ seconds(10), seconds(14) });
-/// weights.OnAnswer(asked, told);
-/// weights.OnRead(model, 2, true, told);      // named nobody knows when
-/// weights.OnRecorded(model, 2, named, now);  // until the record was read
+/// weights.OnAnswer(asked, answered);
+/// weights.OnRead(model, 2, true, answered);      // announcement time unknown
+/// weights.OnRecorded(model, 2, announced, now);  // until the record is read
 /// weights.OnRecordRead();
 /// weights.Wanted(now).at(model).BeginUntil(1);
 /// @endcode
@@ -49,51 +51,54 @@
   {
   }
 
-  /// When a version was named, as far as is known.
+  /// When a version was announced, as far as is known.
   struct Naming
   {
     Instant when{};
-    bool is_assumed = false; ///< Found at the start, with nothing recorded.
+    bool is_assumed = false; ///< Found at the start, without a record.
   };
 
-  /// @brief A version was read; older ones than known are passed over.
-  /// @param aIsAll it was read with all rows, not as a change; then it was
-  /// named after the last answer before, or, at the start, nobody knows when.
+  /// @brief A version was read; ignored unless newer than all known ones.
+  /// @param aIsAll it was read in a snapshot of all rows, not as a change. Then
+  /// it was announced after the previous answer or, at the start, at an unknown
+  /// time.
   /// @return whether it is new.
   bool OnRead(const ModelId& aModel,
               std::uint64_t aVersion,
               bool aIsAll,
-              Instant aTold);
-  /// @brief Somebody recorded when a version was named. The earlier word
-  /// counts; any counts more than an assumption. One that is ahead is of a
-  /// clock that was replaced, and is passed over.
-  /// @return whether that changes anything.
+              Instant aAnswered);
+  /// @brief A recorded announcement time was read. The earliest one counts; any
+  /// replaces an assumed one. A time in the future comes from a clock that was
+  /// replaced since, and is ignored.
+  /// @return whether it changed anything.
   bool OnRecorded(const ModelId& aModel,
                   std::uint64_t aVersion,
                   Instant aWhen,
                   Instant aNow);
-  /// @brief All that is recorded was told. Until then a version that was found
-  /// at the start may have been named any time before.
+  /// @brief The whole record was read. Until then a version that was found at
+  /// the start may have been announced at any time before.
   void OnRecordRead() { m_is_record_read = true; }
-  /// @brief The store answered. After OnRead() with what it answered.
+  /// @brief The store answered. To be called after OnRead() of that answer.
   /// @return whether calls had failed before it.
-  bool OnAnswer(Instant aAsked, Instant aTold);
+  bool OnAnswer(Instant aAsked, Instant aAnswered);
   void OnFailure(Instant aNow) { m_absences.OnFailure(aNow); }
 
-  /// @return all models' versions and ends, if the store is heard from now on.
+  /// @return the versions of all models with their deadlines, assuming that the
+  /// store stays reachable from now on.
   [[nodiscard]] std::map<ModelId, WantedWeights> Wanted(Instant aNow) const;
-  /// @return the namings of a model, as far as they are known.
+  /// @return the known announcements of a model, by version.
   [[nodiscard]] std::map<std::uint64_t, Naming> ToRecord(
     const ModelId& aModel) const;
 
 private:
   struct Model
   {
-    std::uint64_t newest = 0;                ///< As read of the operator.
-    std::map<std::uint64_t, Naming> namings; ///< By version.
+    std::uint64_t newest = 0;                      ///< As set by the operator.
+    std::map<std::uint64_t, Naming> announcements; ///< By version.
   };
 
-  [[nodiscard]] Instant EndOf(const Naming& aNaming, Instant aNow) const;
+  [[nodiscard]] Instant DeadlineOf(const Naming& aAnnouncement,
+                                   Instant aNow) const;
 
   HeardTime m_time;
   StoreAbsences m_absences;
--- a/include/jujubehead/core/weights/order_lease.hpp
+++ b/include/jujubehead/core/weights/order_lease.hpp
@@ -11,100 +11,107 @@
 
 namespace jujubehead::core {
 
-/// @brief Times of the lease for giving orders.
+/// @brief Timing of the lease.
 struct OrderLeaseOptions
 {
-  /// How long a holder may give orders after it began its last renewal. Short,
-  /// as another can take over only after it and the gap.
+  /// How long a holder may send commands after it began its last renewal.
+  /// Short, because a successor has to wait for it and the gap.
   Duration term = std::chrono::milliseconds(1500);
-  /// Least time between orders of two holders.
+  /// Minimum time between commands of two holders.
   Duration gap = std::chrono::seconds(3);
-  /// For clocks that run unevenly, and orders that are on their way.
+  /// For clock drift and commands in flight.
   Duration margin = std::chrono::milliseconds(500);
-  /// One renewal may fail before the term is over.
+  /// Interval of renewals; one may fail before the term expires.
   Duration renewal = std::chrono::milliseconds(500);
 };
 
-/// @brief What the lease's row says.
+/// @brief Contents of the lease's row.
 struct LeaseRow
 {
   std::string holder;
-  /// When the holder began to write it, at the latest, on the store's clock;
-  /// nothing where that was not known.
+  /// Upper bound of the time at which the holder began to write the row, on the
+  /// store's clock; nothing if unknown.
   std::optional<RemoteMs> begun;
 };
 
-/// @return the row as text, and back. Text of another form names a holder only.
+/// @brief Converts the row to text and back. Any other text is read as the name
+/// of a holder.
 std::string
 ToText(const LeaseRow& aRow);
 LeaseRow
 LeaseRowOf(const std::string& aText);
 
-/// @brief The lease by which one instance at a time gives orders to targets.
+/// @brief Lease that lets one instance at a time send load commands to targets.
 ///
-/// It is one row in a store of the platform, written only under the condition
-/// that nobody wrote it meanwhile. The holder counts its term from before it
-/// began to write, and another takes the lease only after the row was unchanged
-/// for the term, the gap and the margin: since it first saw it, or since it was
-/// written by the store's clock, which all compare with their own within
-/// bounds. So an instance that starts need not wait for what has passed already
-/// (5 s, half of the time that a roll-out is allowed). The row's version at the
-/// taking is the fencing token, which so grows from holder to holder.
+/// It is one row in a store of the platform, written by compare-and-swap. The
+/// holder counts its term from before it began to write. Another instance
+/// acquires the lease only after the row was unchanged for the term, the gap
+/// and the margin: since it first saw the row, or since the row was written, by
+/// the store's clock, which every instance relates to its own within bounds. So
+/// a starting instance does not wait for time that has already passed (5 s,
+/// half of the time allowed for a roll-out). The fencing token is the row's
+/// version at acquisition, so it grows from holder to holder.
 ///
-/// Instants have to come from a clock that counts while the machine sleeps.
+/// Instants have to come from a clock that advances during system suspend.
 ///
 /// @code
 /// lease.OnRow(holder, version, now);
 /// if (lease.MayTake(now)) {
 ///   const auto begun = now;
-///   const auto written = co_await rows.Put(key, lease.Self(),
-///   lease.RowVersion()); lease.OnWritten(*written, begun);
+///   const auto written =
+///     co_await rows.Put(key, lease.Self(), lease.RowVersion());
+///   lease.OnWritten(*written, begun);
 /// }
-/// if (lease.Holds(now + order_time)) { ... }
+/// if (lease.Holds(now + command_time)) { ... }
 /// @endcode
 class OrderLease
 {
 public:
-  /// @param aSelf names this start of this instance; no other has it.
+  /// @param aSelf unique name of this run of this instance.
   OrderLease(std::string aSelf, OrderLeaseOptions aOptions);
 
   /// @brief The row was read, or is known to be missing.
   /// @param aVersion 0: there is no row.
-  /// @param aBegun when its writing was begun, at the latest; nothing: unknown.
+  /// @param aBegun upper bound of the time at which its write began; nothing if
+  /// unknown.
   void OnRow(std::string_view aHolder,
              std::uint64_t aVersion,
              Instant aNow,
              std::optional<Instant> aBegun = std::nullopt);
 
-  /// @brief This instance is about to end: it takes the lease no more, as the
-  /// next one would have to wait it out, but goes on with one that it holds.
+  /// @brief This instance is shutting down: it no longer acquires the lease,
+  /// because its successor would have to wait until it expires, but continues
+  /// to renew one that it holds.
   void Retire() { m_is_retired = true; }
 
-  /// @return whether this instance may write the row to take or renew it.
+  /// @return whether this instance may write the row to acquire or renew the
+  /// lease.
   [[nodiscard]] bool MayTake(Instant aNow) const;
   /// @return whether the holder should renew now.
   [[nodiscard]] bool IsRenewalDue(Instant aNow) const;
-  /// @brief Its write took effect.
-  /// @param aBegun when the write was begun.
+  /// @brief A write by this instance succeeded.
+  /// @param aBegun when the write began.
   void OnWritten(std::uint64_t aVersion, Instant aBegun);
 
-  /// @return whether orders that arrive until then are this holder's to give.
+  /// @return whether this instance holds the lease for commands that arrive by
+  /// then.
   [[nodiscard]] bool Holds(Instant aUntil) const;
   [[nodiscard]] std::uint64_t FencingToken() const { return m_token; }
-  /// @return the version that a write has to expect.
+  /// @return the expected version for the next write.
   [[nodiscard]] std::uint64_t RowVersion() const { return m_row_version; }
   [[nodiscard]] const std::string& Self() const { return m_self; }
-  [[nodiscard]] bool WasLastHolder() const { return m_is_mine; }
+  [[nodiscard]] bool WasLastHolder() const { return m_was_last_holder; }
 
 private:
   std::string m_self;
   OrderLeaseOptions m_options;
-  /// Since when it was as it is now, as far as is known.
+  /// Since when the row is known to be unchanged.
   std::optional<Instant> m_unchanged_since;
   std::uint64_t m_row_version = 0;
-  bool m_is_mine = false;
+  bool m_was_last_holder = false;
   bool m_is_retired = false;
-  std::optional<Instant> m_begun; ///< Of the last write that took effect.
+  /// Start of the last successful write.
+  std::optional<Instant> m_last_write_start;
   std::uint64_t m_token = 0;
 };
 
--- a/include/jujubehead/core/weights/rollout.hpp
+++ b/include/jujubehead/core/weights/rollout.hpp
@@ -13,56 +13,57 @@
 
 namespace jujubehead::core {
 
-/// @brief The versions of a model's weights that were asked for, and when each
-/// has to have replaced the older ones.
+/// @brief The requested versions of a model's weights, and the deadline by
+/// which each has to replace the older ones.
 class WantedWeights
 {
 public:
-  /// @brief A version was asked for; older ones than known are passed over.
-  /// @param aOnlyNewerFrom from then on no request may begin on older ones.
+  /// @brief Adds a requested version; ignored unless newer than all known ones.
+  /// @param aOnlyNewerFrom from then on no request may start on older ones.
   /// @return whether it is new.
   bool Add(std::uint64_t aVersion, Instant aOnlyNewerFrom);
 
   /// @return the newest version; 0 before the first.
   [[nodiscard]] std::uint64_t Newest() const;
-  /// @return the oldest version on which a request may begin at an instant.
+  /// @return the oldest version on which a request may start at an instant.
   [[nodiscard]] std::uint64_t OldestAllowed(Instant aWhen) const;
-  /// @return until when a request may begin on a version.
+  /// @return until when a request may start on a version.
   [[nodiscard]] Instant BeginUntil(std::uint64_t aVersion) const;
 
 private:
   std::map<std::uint64_t, Instant> m_deadlines; ///< By version.
 };
 
-/// @brief A target of a roll-out.
+/// @brief State of a target in a roll-out.
 struct RolloutTarget
 {
   TargetId id;
   DataCentreId data_centre;
   std::uint64_t version = 0;
   bool is_loading = false;
-  /// Its order stays unanswered: it may be carried out any time, or never.
+  /// Its load command was not answered: it may be executed at any time, or
+  /// never.
   bool is_unanswered = false;
-  Instant not_before{}; ///< After it could not be reached.
+  Instant not_before{}; ///< No retry earlier, after a failure.
 };
 
-/// @return how many targets may load at once so that the roll-out is over in
-/// time and the others carry the load.
+/// @return how many targets may load at once, so that the roll-out completes in
+/// time and the remaining ones carry the traffic.
 std::size_t
 RolloutWidth(std::size_t aTargets);
 
-/// @return the targets that are to load next, at most as many as RolloutWidth()
-/// leaves room for: those with the oldest weights first, as requests may begin
-/// there no longer soonest; then those of the data centres in which fewest
-/// load. One whose order stays unanswered serves on meanwhile and keeps no
-/// other from loading; else orders that take seconds would be waited for one
-/// round after the other.
+/// @return the targets to load next, within the limit of RolloutWidth(). Those
+/// with the oldest weights go first, because their deadline is the earliest;
+/// then those in the data centres with the fewest loading targets. A target
+/// with an unanswered command still serves and does not count against the
+/// limit; otherwise each round would wait for commands that take seconds.
 std::vector<TargetId>
 NextToLoad(std::span<const RolloutTarget> aTargets,
            std::uint64_t aWanted,
            Instant aNow);
 
-/// @brief What the giver of orders tells the other instances about a model.
+/// @brief Roll-out progress of a model, published to the other instances by the
+/// instance that sends the load commands.
 struct RolloutState
 {
   std::uint64_t version = 0;
@@ -70,7 +71,7 @@
   std::vector<TargetId> done;
 };
 
-/// @return the state as text, and back; nothing is read from what is no state.
+/// @brief Converts the state to text and back; invalid text gives an empty one.
 std::string
 ToText(const RolloutState& aState);
 RolloutState
--- a/include/jujubehead/core/weights/superseded_versions.hpp
+++ b/include/jujubehead/core/weights/superseded_versions.hpp
@@ -17,29 +17,30 @@
 /// @brief Since when each weight version of a model is superseded, as far as
 /// this process knows.
 ///
-/// A version is superseded by the first newer one. Versions that follow do not
-/// begin its time anew: several rollouts in a row would otherwise keep the KV
+/// A version is superseded by the first newer one. Later versions do not
+/// restart its time: otherwise several roll-outs in a row would keep the KV
 /// cache of the first version until the last of them.
 class SupersededVersions
 {
 public:
-  /// @brief A version is wanted. One that is not newer changes nothing.
+  /// @brief A version is requested; ignored unless newer than all known ones.
   void OnWanted(const ModelId& aModel, std::uint64_t aVersion, Instant aNow);
-  /// @return when this process first knew of a newer version; nothing if it
+  /// @return when this process first learned of a newer version; nothing if it
   /// knows of none.
   [[nodiscard]] std::optional<Instant> Since(const ModelId& aModel,
                                              std::uint64_t aVersion) const;
-  /// @return how many of the wanted versions were first wanted for that long.
-  /// It grows whenever one more version is superseded for that long.
+  /// @return how many requested versions were first requested at least that
+  /// long ago. It grows whenever one more version has been superseded for that
+  /// long.
   [[nodiscard]] std::size_t Due(Duration aFor, Instant aNow) const;
 
 private:
-  /// By model, then by version: when it was first wanted.
+  /// By model, then by version: when it was first requested.
   std::map<ModelId, std::map<std::uint64_t, Instant>> m_wanted;
 };
 
-/// @brief Tells the cache scopes of versions that were superseded before an
-/// instant. There are many blocks of few scopes, so each scope is read once.
+/// @brief Recognizes the cache scopes of versions that were superseded by an
+/// instant. Many parts share few scopes, so the result for each is memoized.
 class SupersededScopes
 {
 public:
@@ -50,7 +51,7 @@
 private:
   SupersededVersions m_versions;
   Instant m_before;
-  std::map<std::string, bool, std::less<>> m_known; ///< By scope.
+  std::map<std::string, bool, std::less<>> m_results; ///< By scope.
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/weights/old_weights.cpp
+++ b/src/jujubehead/core/weights/old_weights.cpp
@@ -29,11 +29,11 @@
   NamingRecord record;
   try {
     const json parsed = json::parse(aText);
-    for (const json& one : parsed.at(kNamed)) {
-      record[one.at(0).get<std::uint64_t>()] = one.at(1).get<RemoteMs>();
+    for (const json& entry : parsed.at(kNamed)) {
+      record[entry.at(0).get<std::uint64_t>()] = entry.at(1).get<RemoteMs>();
     }
   } catch (const json::exception&) {
-    // Another writer's row: nothing is known by it, and it is written anew.
+    // Not in this format: treated as no record, and overwritten.
     return {};
   }
   return record;
@@ -43,27 +43,27 @@
 OldWeights::OnRead(const ModelId& aModel,
                    std::uint64_t aVersion,
                    bool aIsAll,
-                   Instant aTold)
+                   Instant aAnswered)
 {
   Model& model = m_models[aModel];
   if (aVersion <= model.newest) {
     return false;
   }
   model.newest = aVersion;
-  Naming naming;
+  Naming announcement;
   if (!aIsAll) {
-    naming.when = aTold;
+    announcement.when = aAnswered;
   } else if (m_last_answer) {
-    naming.when = *m_last_answer;
+    announcement.when = *m_last_answer;
   } else {
-    // All instances may have ended before any of them could record it. Half of
-    // the time is left for the roll-out: it takes some seven seconds of ten.
-    naming.when = aTold - m_time.in_one / 2;
-    naming.is_assumed = true;
+    // All instances may have stopped before any of them recorded it. Half of
+    // the time is left for the roll-out, which takes some seven seconds of ten.
+    announcement.when = aAnswered - m_time.in_one / 2;
+    announcement.is_assumed = true;
   }
-  model.namings.emplace(aVersion, naming);
-  while (model.namings.size() > kMostNamings) {
-    model.namings.erase(model.namings.begin());
+  model.announcements.emplace(aVersion, announcement);
+  while (model.announcements.size() > kMostNamings) {
+    model.announcements.erase(model.announcements.begin());
   }
   return true;
 }
@@ -78,22 +78,22 @@
     return false;
   }
   const auto [known, is_new] =
-    m_models[aModel].namings.emplace(aVersion, Naming{ aWhen, false });
+    m_models[aModel].announcements.emplace(aVersion, Naming{ aWhen, false });
   if (is_new) {
     return true;
   }
-  Naming& naming = known->second;
-  if (!naming.is_assumed && naming.when <= aWhen) {
+  Naming& announcement = known->second;
+  if (!announcement.is_assumed && announcement.when <= aWhen) {
     return false;
   }
-  naming = { aWhen, false };
+  announcement = { aWhen, false };
   return true;
 }
 
 bool
-OldWeights::OnAnswer(Instant aAsked, Instant aTold)
+OldWeights::OnAnswer(Instant aAsked, Instant aAnswered)
 {
-  m_last_answer = std::max(m_last_answer.value_or(aTold), aTold);
+  m_last_answer = std::max(m_last_answer.value_or(aAnswered), aAnswered);
   return m_absences.OnAnswer(aAsked);
 }
 
@@ -102,10 +102,10 @@
 {
   std::map<ModelId, WantedWeights> wanted;
   for (const auto& [id, model] : m_models) {
-    for (const auto& [version, naming] : model.namings) {
-      // A record may be ahead of what was read of the operator.
+    for (const auto& [version, announcement] : model.announcements) {
+      // The record may be newer than the operator's rows that were read.
       if (version <= model.newest) {
-        wanted[id].Add(version, EndOf(naming, aNow));
+        wanted[id].Add(version, DeadlineOf(announcement, aNow));
       }
     }
   }
@@ -113,11 +113,11 @@
 }
 
 Instant
-OldWeights::EndOf(const Naming& aNaming, Instant aNow) const
+OldWeights::DeadlineOf(const Naming& aAnnouncement, Instant aNow) const
 {
-  return aNaming.is_assumed && !m_is_record_read
-           ? aNaming.when
-           : m_absences.EndOf(aNaming.when, m_time, aNow);
+  return aAnnouncement.is_assumed && !m_is_record_read
+           ? aAnnouncement.when
+           : m_absences.EndOf(aAnnouncement.when, m_time, aNow);
 }
 
 std::map<std::uint64_t, OldWeights::Naming>
@@ -127,7 +127,7 @@
   if (model == m_models.end()) {
     return {};
   }
-  return model->second.namings;
+  return model->second.announcements;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/weights/old_weights_test.cpp
+++ b/src/jujubehead/core/weights/old_weights_test.cpp
@@ -22,95 +22,95 @@
 {
   OldWeights weights{ kTime };
 
-  Instant EndOf(std::uint64_t aVersion, int aNowSeconds) const
+  Instant DeadlineOf(std::uint64_t aVersion, int aNowSeconds) const
   {
     return weights.Wanted(At(aNowSeconds)).at(kModel).BeginUntil(aVersion);
   }
 };
 
-TEST(OldWeights, AChangeCountsFromWhenItWasTold)
+TEST(OldWeights, ChangeCountsFromItsAnswer)
 {
   weights.OnAnswer(At(1), At(1));
   CHECK(weights.OnRead(kModel, 2, false, At(5)));
   CHECK_FALSE(weights.OnRead(kModel, 2, false, At(6)));
-  CHECK(EndOf(1, 6) == At(15));
-  CHECK(EndOf(2, 6) == Instant::max());
+  CHECK(DeadlineOf(1, 6) == At(15));
+  CHECK(DeadlineOf(2, 6) == Instant::max());
 }
 
-TEST(OldWeights, AfterLostHistoryItCountsFromTheLastAnswer)
+TEST(OldWeights, SnapshotCountsFromThePreviousAnswer)
 {
   weights.OnAnswer(At(1), At(1));
   weights.OnRead(kModel, 2, true, At(5));
-  CHECK(EndOf(1, 6) == At(11));
+  CHECK(DeadlineOf(1, 6) == At(11));
 }
 
-TEST(OldWeights, AtTheStartHalfOfTheTimeIsAssumedToBeGone)
+TEST(OldWeights, AtStartHalfOfTheTimeIsAssumedToHavePassed)
 {
   weights.OnRead(kModel, 2, true, At(5));
-  // It may be over as long as nobody has looked whether it is recorded.
-  CHECK(EndOf(1, 6) <= At(5));
+  // Until the record is read, the deadline may have passed.
+  CHECK(DeadlineOf(1, 6) <= At(5));
   weights.OnRecordRead();
-  CHECK(EndOf(1, 6) == At(10));
+  CHECK(DeadlineOf(1, 6) == At(10));
 }
 
-TEST(OldWeights, ARecordOfAClockThatWasReplacedIsPassedOver)
+TEST(OldWeights, RecordOfReplacedClockIsIgnored)
 {
   weights.OnRead(kModel, 2, true, At(5));
   CHECK_FALSE(weights.OnRecorded(kModel, 2, At(86400), At(5)));
   weights.OnRecordRead();
-  CHECK(EndOf(1, 6) == At(10));
+  CHECK(DeadlineOf(1, 6) == At(10));
 }
 
-TEST(OldWeights, ARecordCountsMoreThanAnAssumption)
+TEST(OldWeights, RecordReplacesAssumption)
 {
   weights.OnRead(kModel, 2, true, At(20));
   CHECK(weights.OnRecorded(kModel, 2, At(18), At(20)));
-  CHECK(EndOf(1, 20) == At(28));
+  CHECK(DeadlineOf(1, 20) == At(28));
   CHECK_FALSE(weights.OnRecorded(kModel, 2, At(19), At(20)));
   CHECK(weights.OnRecorded(kModel, 2, At(16), At(20)));
-  CHECK(EndOf(1, 20) == At(26));
+  CHECK(DeadlineOf(1, 20) == At(26));
 }
 
-TEST(OldWeights, ARecordTellsVersionsThatTheOperatorsRowTellsNoMore)
+TEST(OldWeights, RecordHasVersionsThatTheOperatorsRowNoLongerHas)
 {
   weights.OnRead(kModel, 3, true, At(20));
   weights.OnRecorded(kModel, 2, At(8), At(20));
   weights.OnRecorded(kModel, 3, At(18), At(20));
-  CHECK(EndOf(1, 20) == At(18));
-  CHECK(EndOf(2, 20) == At(28));
+  CHECK(DeadlineOf(1, 20) == At(18));
+  CHECK(DeadlineOf(2, 20) == At(28));
 }
 
-TEST(OldWeights, ARecordAheadOfTheOperatorsRowsWaitsForThem)
+TEST(OldWeights, RecordNewerThanTheOperatorsRowsTakesEffectWithThem)
 {
   weights.OnRead(kModel, 2, false, At(5));
   weights.OnRecorded(kModel, 3, At(6), At(7));
   LONGS_EQUAL(2, weights.Wanted(At(7)).at(kModel).Newest());
   weights.OnRead(kModel, 3, false, At(8));
-  CHECK(EndOf(2, 8) == At(16));
+  CHECK(DeadlineOf(2, 8) == At(16));
 }
 
-TEST(OldWeights, AfterAnAbsenceTheTimeBeginsAnewWithinWhatIsLeftInAll)
+TEST(OldWeights, OutageRestartsTheTimeWithinTheTotalLimit)
 {
   weights.OnAnswer(At(1), At(1));
   weights.OnRead(kModel, 2, false, At(5));
   weights.OnFailure(At(10));
   weights.OnFailure(At(10));
   weights.OnAnswer(At(13), At(14));
-  // 5 s were heard before it, 9 of 14 are left.
-  CHECK(EndOf(1, 14) == At(22));
+  // The store was reachable for 5 s before the outage; 9 of 14 s are left.
+  CHECK(DeadlineOf(1, 14) == At(22));
 }
 
-TEST(OldWeights, WhatBelongsIntoTheRecordIsBounded)
+TEST(OldWeights, RecordIsBounded)
 {
   for (std::uint64_t version = 2; version < 40; ++version) {
     weights.OnRead(kModel, version, false, At(5));
   }
-  const auto namings = weights.ToRecord(kModel);
-  LONGS_EQUAL(8, namings.size());
-  LONGS_EQUAL(39, namings.rbegin()->first);
+  const auto announcements = weights.ToRecord(kModel);
+  LONGS_EQUAL(8, announcements.size());
+  LONGS_EQUAL(39, announcements.rbegin()->first);
 }
 
-TEST(OldWeights, ARecordIsReadBackAndGarbageIsNone)
+TEST(OldWeights, RecordRoundTripsAndInvalidTextIsEmpty)
 {
   const NamingRecord record{ { 2, 1000 }, { 3, 5000 } };
   CHECK(record == NamingRecordOf(ToText(record)));
--- a/src/jujubehead/core/weights/order_lease.cpp
+++ b/src/jujubehead/core/weights/order_lease.cpp
@@ -36,7 +36,7 @@
       row.begun = begun->get<RemoteMs>();
     }
   } catch (const json::exception&) {
-    // Whoever wrote it is waited out from when the row was seen.
+    // Unknown writer: its term counts from when the row was first seen.
     return { aText, std::nullopt };
   }
   return row;
@@ -59,9 +59,9 @@
   }
   m_row_version = aVersion;
   m_unchanged_since = std::min(aNow, aBegun.value_or(aNow));
-  m_is_mine = aHolder == m_self;
-  if (!m_is_mine) {
-    m_begun.reset();
+  m_was_last_holder = aHolder == m_self;
+  if (!m_was_last_holder) {
+    m_last_write_start.reset();
   }
 }
 
@@ -71,7 +71,7 @@
   if (!m_unchanged_since || (m_is_retired && !Holds(aNow))) {
     return false;
   }
-  if (m_row_version == 0 || m_is_mine) {
+  if (m_row_version == 0 || m_was_last_holder) {
     return true;
   }
   return aNow - *m_unchanged_since >=
@@ -81,7 +81,7 @@
 bool
 OrderLease::IsRenewalDue(Instant aNow) const
 {
-  return !m_begun || aNow - *m_begun >= m_options.renewal;
+  return !m_last_write_start || aNow - *m_last_write_start >= m_options.renewal;
 }
 
 void
@@ -90,8 +90,8 @@
   const bool was_held = Holds(aBegun);
   m_row_version = aVersion;
   m_unchanged_since = aBegun;
-  m_is_mine = true;
-  m_begun = aBegun;
+  m_was_last_holder = true;
+  m_last_write_start = aBegun;
   if (!was_held) {
     m_token = aVersion;
   }
@@ -100,7 +100,8 @@
 bool
 OrderLease::Holds(Instant aUntil) const
 {
-  return m_is_mine && m_begun && aUntil < *m_begun + m_options.term;
+  return m_was_last_holder && m_last_write_start &&
+         aUntil < *m_last_write_start + m_options.term;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/weights/order_lease_test.cpp
+++ b/src/jujubehead/core/weights/order_lease_test.cpp
@@ -13,13 +13,13 @@
 
 constexpr std::size_t kInstances = 3;
 
-/// How far ahead of its moment a writer may think the store's clock to be, and
-/// a reader behind: what the bounds of RemoteClock allow.
-constexpr milliseconds kClockDoubt{ 300 };
+/// How far a writer may overestimate, and a reader underestimate, the store's
+/// clock within the bounds of RemoteClock.
+constexpr milliseconds kClockUncertainty{ 300 };
 
-/// One instance's turn: it may first be paused, start anew, read the row late,
-/// or lose the answer of its write.
-struct Turn
+/// One instance's step: it may first be paused, restart, skip reading the row,
+/// or lose the answer to its write.
+struct Step
 {
   std::size_t instance = 0;
   int pause_ms = 0;
@@ -29,90 +29,90 @@
   int write_delay_ms = 0;
 };
 
-struct Order
+struct Command
 {
-  std::string holder; ///< This start of an instance.
+  std::string holder; ///< One run of an instance.
   Instant when;
   std::uint64_t token = 0;
 };
 
-/// The row, and what instances do about it.
-class World
+/// Simulates the row and the instances that compete for it.
+class Simulation
 {
 public:
-  /// @param aTellsEarly whether writers tell a moment before they began: a
-  /// fault.
-  explicit World(OrderLeaseOptions aOptions, bool aTellsEarly = false)
+  /// @param aBackdates whether writers record a time before they began: an
+  /// injected fault.
+  explicit Simulation(OrderLeaseOptions aOptions, bool aBackdates = false)
     : m_options(aOptions)
-    , m_tells_early(aTellsEarly)
+    , m_backdates(aBackdates)
   {
     for (std::size_t i = 0; i < kInstances; ++i) {
       leases.push_back(NewLease(i));
     }
   }
 
-  void Take(const Turn& aTurn)
+  void Run(const Step& aStep)
   {
-    now += milliseconds(aTurn.pause_ms);
-    OrderLease& lease = leases[aTurn.instance];
-    if (aTurn.restarts) {
-      lease = NewLease(aTurn.instance);
+    now += milliseconds(aStep.pause_ms);
+    OrderLease& lease = leases[aStep.instance];
+    if (aStep.restarts) {
+      lease = NewLease(aStep.instance);
     }
-    if (aTurn.reads) {
+    if (aStep.reads) {
       lease.OnRow(holder, version, now, begun);
     }
     if (lease.MayTake(now) && lease.IsRenewalDue(now)) {
-      Write(aTurn, lease);
+      Write(aStep, lease);
     }
     if (lease.Holds(now)) {
-      orders.push_back({ lease.Self(), now, lease.FencingToken() });
+      commands.push_back({ lease.Self(), now, lease.FencingToken() });
     }
   }
 
   std::vector<OrderLease> leases;
-  std::vector<Order> orders;
+  std::vector<Command> commands;
   Instant now{ std::chrono::seconds(100) };
   std::string holder;
   std::uint64_t version = 0;
-  std::optional<Instant> begun; ///< As the row tells it.
+  std::optional<Instant> begun; ///< As recorded in the row.
 
 private:
   OrderLease NewLease(std::size_t aInstance)
   {
-    const std::string start = std::to_string(++m_starts);
-    return { "i" + std::to_string(aInstance) + "/" + start, m_options };
+    const std::string run = std::to_string(++m_runs);
+    return { "i" + std::to_string(aInstance) + "/" + run, m_options };
   }
 
-  void Write(const Turn& aTurn, OrderLease& aLease)
+  void Write(const Step& aStep, OrderLease& aLease)
   {
     const Instant began = now;
-    now += milliseconds(aTurn.write_delay_ms);
+    now += milliseconds(aStep.write_delay_ms);
     if (aLease.RowVersion() != version) {
       return;
     }
     holder = aLease.Self();
     ++version;
-    begun =
-      began + (aTurn.write_delay_ms % 2 == 0 ? kClockDoubt : milliseconds(0));
-    if (m_tells_early) {
+    begun = began + (aStep.write_delay_ms % 2 == 0 ? kClockUncertainty
+                                                   : milliseconds(0));
+    if (m_backdates) {
       begun = began - std::chrono::seconds(4);
     }
-    if (!aTurn.answer_lost) {
+    if (!aStep.answer_lost) {
       aLease.OnWritten(version, began);
     }
   }
 
   OrderLeaseOptions m_options;
-  bool m_tells_early;
-  std::size_t m_starts = 0;
+  bool m_backdates;
+  std::size_t m_runs = 0;
 };
 
 bool
-KeepApart(const std::vector<Order>& aOrders, Duration aGap)
+AreSeparated(const std::vector<Command>& aCommands, Duration aGap)
 {
-  for (std::size_t i = 1; i < aOrders.size(); ++i) {
-    const Order& before = aOrders[i - 1];
-    const Order& after = aOrders[i];
+  for (std::size_t i = 1; i < aCommands.size(); ++i) {
+    const Command& before = aCommands[i - 1];
+    const Command& after = aCommands[i];
     if (before.holder == after.holder) {
       continue;
     }
@@ -123,40 +123,40 @@
   return true;
 }
 
-std::vector<Turn>
-AnyTurns()
+std::vector<Step>
+AnySteps()
 {
   return *rc::gen::resize(
     200,
-    rc::gen::container<std::vector<Turn>>(rc::gen::build(
-      rc::gen::construct<Turn>(),
-      rc::gen::set(&Turn::instance,
+    rc::gen::container<std::vector<Step>>(rc::gen::build(
+      rc::gen::construct<Step>(),
+      rc::gen::set(&Step::instance,
                    rc::gen::inRange<std::size_t>(0, kInstances)),
-      rc::gen::set(&Turn::pause_ms,
+      rc::gen::set(&Step::pause_ms,
                    rc::gen::weightedOneOf<int>(
                      { { 8, rc::gen::inRange(0, 400) },
                        { 1, rc::gen::inRange(400, 9000) } })),
-      rc::gen::set(&Turn::restarts,
+      rc::gen::set(&Step::restarts,
                    rc::gen::map(rc::gen::inRange(0, 12),
                                 [](int aDraw) { return aDraw == 0; })),
-      rc::gen::set(&Turn::reads, rc::gen::arbitrary<bool>()),
-      rc::gen::set(&Turn::answer_lost,
+      rc::gen::set(&Step::reads, rc::gen::arbitrary<bool>()),
+      rc::gen::set(&Step::answer_lost,
                    rc::gen::map(rc::gen::inRange(0, 5),
                                 [](int aDraw) { return aDraw == 0; })),
-      rc::gen::set(&Turn::write_delay_ms, rc::gen::inRange(0, 900)))));
+      rc::gen::set(&Step::write_delay_ms, rc::gen::inRange(0, 900)))));
 }
 
 bool
-SurvivesAnyTurns(const OrderLeaseOptions& aOptions,
+HoldsForAnySteps(const OrderLeaseOptions& aOptions,
                  Duration aGap,
-                 bool aTellsEarly = false)
+                 bool aBackdates = false)
 {
-  return rc::check("orders of two holders keep apart", [&] {
-    World world(aOptions, aTellsEarly);
-    for (const Turn& turn : AnyTurns()) {
-      world.Take(turn);
+  return rc::check("commands of two holders are separated", [&] {
+    Simulation simulation(aOptions, aBackdates);
+    for (const Step& step : AnySteps()) {
+      simulation.Run(step);
     }
-    RC_ASSERT(KeepApart(world.orders, aGap));
+    RC_ASSERT(AreSeparated(simulation.commands, aGap));
   });
 }
 
@@ -164,29 +164,29 @@
 
 TEST_GROUP(OrderLease){};
 
-TEST(OrderLease, OrdersOfTwoHoldersKeepApartWhateverComesLate)
+TEST(OrderLease, CommandsOfTwoHoldersAreSeparatedUnderDelays)
 {
   const OrderLeaseOptions options;
-  CHECK(SurvivesAnyTurns(options, options.gap));
+  CHECK(HoldsForAnySteps(options, options.gap));
 }
 
-TEST(OrderLease, TheCheckFindsALeaseThatIsTakenTooSoon)
+TEST(OrderLease, CheckDetectsEarlyAcquisition)
 {
   OrderLeaseOptions broken;
   const Duration gap = broken.gap;
   broken.gap = Duration(0);
   broken.margin = Duration(0);
-  // The property prints its counterexample; it has to find one.
-  CHECK_FALSE(SurvivesAnyTurns(broken, gap));
+  // The property must fail; it prints its counterexample.
+  CHECK_FALSE(HoldsForAnySteps(broken, gap));
 }
 
-TEST(OrderLease, TheCheckFindsARowThatTellsAMomentBeforeItsWrite)
+TEST(OrderLease, CheckDetectsBackdatedRow)
 {
   const OrderLeaseOptions options;
-  CHECK_FALSE(SurvivesAnyTurns(options, options.gap, true));
+  CHECK_FALSE(HoldsForAnySteps(options, options.gap, true));
 }
 
-TEST(OrderLease, AfterARestartOnlyTheRestOfTheTimeIsWaited)
+TEST(OrderLease, RestartWaitsOnlyForTheRemainingTime)
 {
   const OrderLeaseOptions options;
   const Duration whole = options.term + options.gap + options.margin;
@@ -196,7 +196,8 @@
   lease.OnRow("i1", 7, now, begun);
   CHECK_FALSE(lease.MayTake(now));
   CHECK(lease.MayTake(now + milliseconds(100)));
-  // Without the moment, or with one ahead, it is waited out from the reading.
+  // Without a write time, or with one in the future, the wait counts from the
+  // read.
   OrderLease other("i3", options);
   other.OnRow("i1", 7, now);
   CHECK_FALSE(other.MayTake(now + whole - milliseconds(1)));
@@ -206,7 +207,7 @@
   CHECK(third.MayTake(now + whole));
 }
 
-TEST(OrderLease, ItsRowIsReadBackAndOtherTextNamesAHolder)
+TEST(OrderLease, RowRoundTripsAndOtherTextNamesAHolder)
 {
   const LeaseRow row = LeaseRowOf(ToText(LeaseRow{ "i1/a", 42 }));
   STRCMP_EQUAL("i1/a", row.holder.c_str());
@@ -217,13 +218,13 @@
   CHECK_FALSE(other.begun.has_value());
 }
 
-TEST(OrderLease, IsNotTakenBeforeTheRowWasSeen)
+TEST(OrderLease, IsNotAcquiredBeforeTheRowWasRead)
 {
   const OrderLease lease("i1", {});
   CHECK_FALSE(lease.MayTake(Instant(std::chrono::hours(1))));
 }
 
-TEST(OrderLease, ItsLastHolderTakesItAgainWithANewToken)
+TEST(OrderLease, LastHolderReacquiresWithNewToken)
 {
   const Instant now{ std::chrono::seconds(10) };
   OrderLease lease("i1", {});
@@ -237,7 +238,7 @@
   LONGS_EQUAL(12, lease.FencingToken());
 }
 
-TEST(OrderLease, AnInstanceThatEndsDoesNotTakeItButGoesOnWithIt)
+TEST(OrderLease, RetiredInstanceRenewsButDoesNotAcquire)
 {
   const Instant now{ std::chrono::seconds(10) };
   OrderLease idle("i1", {});
@@ -252,7 +253,7 @@
   CHECK_FALSE(holder.MayTake(now + milliseconds(1600)));
 }
 
-TEST(OrderLease, ARenewalKeepsTheToken)
+TEST(OrderLease, RenewalKeepsTheToken)
 {
   const Instant now{ std::chrono::seconds(10) };
   OrderLease lease("i1", {});
--- a/src/jujubehead/core/weights/rollout.cpp
+++ b/src/jujubehead/core/weights/rollout.cpp
@@ -10,9 +10,9 @@
 
 using nlohmann::json;
 
-/// A third at once: loading takes two to three seconds, the end of the runs
-/// included, so three rounds end within the ten seconds that operators allow,
-/// and two thirds of the targets carry the load meanwhile.
+/// A third of the targets load at once. Loading takes two to three seconds,
+/// including the end of running requests, so three rounds complete within the
+/// ten seconds that operators allow, while two thirds carry the traffic.
 constexpr std::size_t kRounds = 3;
 
 json
@@ -90,27 +90,29 @@
 {
   std::map<DataCentreId, std::size_t> loading;
   std::size_t all_loading = 0;
-  std::vector<const RolloutTarget*> behind;
+  std::vector<const RolloutTarget*> outdated;
   for (const RolloutTarget& target : aTargets) {
     if (target.is_loading) {
       ++loading[target.data_centre];
       ++all_loading;
     } else if (target.version < aWanted && !target.is_unanswered &&
                aNow >= target.not_before) {
-      behind.push_back(&target);
+      outdated.push_back(&target);
     }
   }
   std::vector<TargetId> next;
   const std::size_t width = RolloutWidth(aTargets.size());
-  while (!behind.empty() && all_loading + next.size() < width) {
+  while (!outdated.empty() && all_loading + next.size() < width) {
     const auto best = std::min_element(
-      behind.begin(), behind.end(), [&](const auto* aOne, const auto* aOther) {
+      outdated.begin(),
+      outdated.end(),
+      [&](const auto* aOne, const auto* aOther) {
         return std::make_pair(aOne->version, loading[aOne->data_centre]) <
                std::make_pair(aOther->version, loading[aOther->data_centre]);
       });
     ++loading[(*best)->data_centre];
     next.push_back((*best)->id);
-    behind.erase(best);
+    outdated.erase(best);
   }
   return next;
 }
@@ -135,7 +137,7 @@
     state.loading = TargetsOf(parsed.at("loading"));
     state.done = TargetsOf(parsed.at("done"));
   } catch (const json::exception&) {
-    // Another writer's row: nothing is known by it, which is always safe.
+    // Not in this format: treated as unknown state, which is always safe.
     return {};
   }
   return state;
--- a/src/jujubehead/core/weights/rollout_test.cpp
+++ b/src/jujubehead/core/weights/rollout_test.cpp
@@ -26,7 +26,7 @@
   Instant now{ seconds(100) };
 };
 
-TEST(Rollout, AThirdLoadsAtOnceOverAllDataCentres)
+TEST(Rollout, OneThirdLoadsAtOnceAcrossDataCentres)
 {
   const auto targets = Targets(6);
   const auto next = NextToLoad(targets, 2, now);
@@ -35,14 +35,14 @@
   STRCMP_EQUAL("t1", next[1].Text().c_str());
 }
 
-TEST(Rollout, WhatLoadsLeavesNoRoomForOthers)
+TEST(Rollout, LoadingTargetsCountAgainstTheLimit)
 {
   auto targets = Targets(3);
   targets[0].is_loading = true;
   CHECK(NextToLoad(targets, 2, now).empty());
 }
 
-TEST(Rollout, ATargetThatDoesNotAnswerLeavesItsPlaceToOthers)
+TEST(Rollout, UnansweredTargetDoesNotCountAgainstTheLimit)
 {
   auto targets = Targets(3);
   targets[0].is_unanswered = true;
@@ -54,7 +54,7 @@
   CHECK(NextToLoad(targets, 2, now).empty());
 }
 
-TEST(Rollout, TheOldestWeightsGoFirst)
+TEST(Rollout, OldestWeightsGoFirst)
 {
   auto targets = Targets(3);
   targets[0].version = 2;
@@ -63,7 +63,7 @@
   STRCMP_EQUAL("t2", next.front().Text().c_str());
 }
 
-TEST(Rollout, ATargetThatFailedIsLeftForAWhile)
+TEST(Rollout, FailedTargetIsRetriedLater)
 {
   auto targets = Targets(1);
   targets[0].not_before = now + seconds(1);
@@ -86,16 +86,16 @@
   CHECK(wanted.BeginUntil(3) == Instant::max());
 }
 
-TEST(Rollout, ItsStateIsReadBackAndGarbageIsNone)
+TEST(Rollout, StateRoundTripsAndInvalidTextIsEmpty)
 {
   RolloutState state;
   state.version = 4;
   state.loading = { TargetId("t1") };
   state.done = { TargetId("t2"), TargetId("t3") };
-  const RolloutState back = RolloutStateOf(ToText(state));
-  LONGS_EQUAL(4, back.version);
-  LONGS_EQUAL(1, back.loading.size());
-  LONGS_EQUAL(2, back.done.size());
+  const RolloutState parsed = RolloutStateOf(ToText(state));
+  LONGS_EQUAL(4, parsed.version);
+  LONGS_EQUAL(1, parsed.loading.size());
+  LONGS_EQUAL(2, parsed.done.size());
   LONGS_EQUAL(0, RolloutStateOf("{\"version\":\"x\"}").version);
   LONGS_EQUAL(0, RolloutStateOf("]").version);
 }
--- a/src/jujubehead/core/weights/superseded_versions.cpp
+++ b/src/jujubehead/core/weights/superseded_versions.cpp
@@ -7,9 +7,9 @@
 namespace jujubehead::core {
 namespace {
 
-/// Versions remembered of a model. One older than these counts as superseded by
-/// the oldest of them, which is later than it was.
-constexpr std::size_t kMostVersions = 8;
+/// Versions kept of a model. One older than these counts as superseded by the
+/// oldest of them, which is later than it actually was.
+constexpr std::size_t kMaxVersions = 8;
 
 } // namespace
 
@@ -23,7 +23,7 @@
     return;
   }
   wanted.emplace(aVersion, aNow);
-  if (wanted.size() > kMostVersions) {
+  if (wanted.size() > kMaxVersions) {
     wanted.erase(wanted.begin());
   }
 }
@@ -62,8 +62,8 @@
 bool
 SupersededScopes::Contains(std::string_view aScope)
 {
-  const auto known = m_known.find(aScope);
-  if (known != m_known.end()) {
+  const auto known = m_results.find(aScope);
+  if (known != m_results.end()) {
     return known->second;
   }
   const auto scope = CacheScopeOf(aScope);
@@ -71,7 +71,7 @@
                        ? m_versions.Since(scope->model, scope->weight_version)
                        : std::nullopt;
   const bool is_superseded = since && *since <= m_before;
-  m_known.emplace(aScope, is_superseded);
+  m_results.emplace(aScope, is_superseded);
   return is_superseded;
 }
 
--- a/src/jujubehead/core/weights/superseded_versions_test.cpp
+++ b/src/jujubehead/core/weights/superseded_versions_test.cpp
@@ -16,7 +16,7 @@
 
 TEST_GROUP(SupersededVersions){};
 
-TEST(SupersededVersions, TheNewestIsNotSuperseded)
+TEST(SupersededVersions, NewestIsNotSuperseded)
 {
   SupersededVersions versions;
   CHECK_FALSE(versions.Since(kModel, 1).has_value());
@@ -25,9 +25,9 @@
   CHECK(versions.Since(kModel, 1) == kStart);
 }
 
-// Rollouts in quick succession: the KV cache of the first version fills the
-// stores until it is freed, so its time must not begin anew with each of them.
-TEST(SupersededVersions, ALaterVersionDoesNotBeginTheTimeAnew)
+// Roll-outs in quick succession: the KV cache of the first version fills the
+// stores until it is freed, so a later roll-out must not restart its time.
+TEST(SupersededVersions, LaterVersionDoesNotRestartTheTime)
 {
   SupersededVersions versions;
   versions.OnWanted(kModel, 2, kStart);
@@ -38,7 +38,7 @@
   CHECK(versions.Since(kModel, 2) == kStart + 4 * kSecond);
 }
 
-TEST(SupersededVersions, WhatIsForgottenCountsLaterNeverSooner)
+TEST(SupersededVersions, EvictedVersionsCountLaterNeverEarlier)
 {
   SupersededVersions versions;
   constexpr std::uint64_t kMany = 100;
@@ -52,8 +52,7 @@
   }
 }
 
-TEST(SupersededVersions,
-     OneMoreIsDueWheneverAVersionHasBeenSupersededLongEnough)
+TEST(SupersededVersions, CountGrowsWhenAVersionHasBeenSupersededLongEnough)
 {
   SupersededVersions versions;
   LONGS_EQUAL(0, versions.Due({}, kStart));
@@ -64,7 +63,7 @@
   LONGS_EQUAL(2, versions.Due(2 * kSecond, kStart + 3 * kSecond));
 }
 
-TEST(SupersededVersions, ScopesOfOtherModelsAndOfUnreadableNamesStay)
+TEST(SupersededVersions, OtherModelsAndInvalidScopesAreNotContained)
 {
   SupersededVersions versions;
   versions.OnWanted(kModel, 2, kStart);
