--- a/include/jujubehead/core/weights/old_weights.hpp
+++ b/include/jujubehead/core/weights/old_weights.hpp
@@ -59,13 +59,13 @@
   };
 
   /// @brief A version was read; ignored unless newer than all known ones.
-  /// @param aIsAll it was read in a snapshot of all rows, not as a change. Then
-  /// it was announced after the previous answer or, at the start, at an unknown
-  /// time.
+  /// @param aIsSnapshot it was read in a snapshot of all rows, not as a change.
+  /// Then it was announced after the previous answer or, at the start, at an
+  /// unknown time.
   /// @return whether it is new.
   bool OnRead(const ModelId& aModel,
               std::uint64_t aVersion,
-              bool aIsAll,
+              bool aIsSnapshot,
               Instant aAnswered);
   /// @brief A recorded announcement time was read. The earliest one counts; any
   /// replaces an assumed one. A time in the future comes from a clock that was
--- a/src/jujubehead/core/weights/old_weights.cpp
+++ b/src/jujubehead/core/weights/old_weights.cpp
@@ -42,7 +42,7 @@
 bool
 OldWeights::OnRead(const ModelId& aModel,
                    std::uint64_t aVersion,
-                   bool aIsAll,
+                   bool aIsSnapshot,
                    Instant aAnswered)
 {
   Model& model = m_models[aModel];
@@ -51,7 +51,7 @@
   }
   model.newest = aVersion;
   Naming announcement;
-  if (!aIsAll) {
+  if (!aIsSnapshot) {
     announcement.when = aAnswered;
   } else if (m_last_answer) {
     announcement.when = *m_last_answer;
