--- a/include/jujubehead/node/control/known_rows.hpp
+++ b/include/jujubehead/node/control/known_rows.hpp
@@ -10,41 +10,41 @@
 
 namespace jujubehead::node {
 
-/// @brief Rows that one instance tells another.
+/// @brief Rows that one instance sends to another.
 struct RowNews
 {
-  std::string bytes;    ///< Only the one who takes them reads them.
+  std::string bytes;    ///< Opaque; decoded by TakeNews().
   core::Duration age{}; ///< Since the store last answered.
 };
 
-/// @brief What an instance has read of the operators' store, for others: those
-/// that start while the store is away, and those that leave the reading to
-/// hubs.
+/// @brief Cached rows of the operators' store, for other instances: those that
+/// start while the store is unavailable, and those that read from hubs.
 class KnownRows
 {
 public:
   virtual ~KnownRows() = default;
-  /// @return the answer to a read as far as this instance knows it, marked as
-  /// such; nothing when it is another call, or nothing was read yet.
+  /// @return the answer to a read from the cache, marked as such; nothing for
+  /// other calls or while the cache is empty.
   [[nodiscard]] virtual std::optional<net::HttpResponse> Answer(
     const net::HttpRequest& aRequest) const = 0;
 
-  /// @return where this instance stands, as text that fits in a URL.
+  /// @return positions up to which tables were read, as URL-safe text.
   [[nodiscard]] virtual std::string Cursors() const = 0;
   /// @param aCursors another instance's Cursors().
-  /// @return what changed since; nothing while not all tables were read.
+  /// @return the changes since; nothing until all tables were read.
   [[nodiscard]] virtual std::optional<RowNews> NewsAfter(
     const std::string& aCursors,
     core::Instant aNow) const = 0;
-  /// @param aTold when the store said so, at the latest.
-  /// @param aAsked when the question was sent that they answer.
-  /// @return whether those who follow the rows have yet to read changes; until
-  /// then what they know is older than this.
-  /// @throws std::exception when the bytes are no such news.
+  /// @param aTold latest time at which the rows were current at the store.
+  /// @param aAsked when the request was sent.
+  /// @return whether followers of the rows have unread changes; until they read
+  /// them, their data is older than aTold.
+  /// @throws std::exception on malformed bytes.
   virtual bool TakeNews(const std::string& aBytes,
                         core::Instant aTold,
                         core::Instant aAsked) = 0;
-  /// @return the clock of the store, by all answers of it and by others' word.
+  /// @return the store's clock, estimated from its answers and from updates of
+  /// other instances.
   [[nodiscard]] virtual const core::RemoteClock& StoreClock() const = 0;
 };
 
--- a/include/jujubehead/node/control/platform.hpp
+++ b/include/jujubehead/node/control/platform.hpp
@@ -18,17 +18,17 @@
 
 namespace jujubehead::node {
 
-/// @brief Why a call to the platform gave nothing.
+/// @brief Why a call to the platform failed.
 enum class PlatformFault : std::uint8_t
 {
   kUnreachable, ///< No answer.
-  kBusy,        ///< It answered that it does not serve now.
-  kTooMany,     ///< It serves, but takes no more calls now.
-  kUnusable,    ///< It serves, but the answer tells nothing or is out of date.
-  kHistoryLost, ///< What changed since then is not known any more.
+  kBusy,        ///< It answered that it is not serving now.
+  kTooMany,     ///< It serves, but accepts no more calls now.
+  kUnusable,    ///< It serves, but the answer is invalid or stale.
+  kHistoryLost, ///< Changes since the cursor are no longer stored.
 };
 
-/// @return whether the platform may be away, and not only this call was lost.
+/// @return whether the fault suggests an outage, not only a failed call.
 [[nodiscard]] constexpr bool
 IsAbsence(PlatformFault aFault)
 {
@@ -51,20 +51,21 @@
   PlatformFault m_fault;
 };
 
-/// @brief What the operator wrote.
+/// @brief Rows written by the operator.
 struct OperatorNews
 {
-  std::uint64_t cursor = 0; ///< Where to go on.
-  /// Another instance's knowledge, while the store itself did not answer.
+  std::uint64_t cursor = 0; ///< For the next ReadChanges().
+  /// From another instance's cache, while the store itself did not answer.
   bool is_recalled = false;
-  core::Instant told{};  ///< When the store said so, at the latest.
-  core::Instant asked{}; ///< When it was asked for it.
+  core::Instant told{};  ///< Latest time at which this was current.
+  core::Instant asked{}; ///< When the request was sent.
   std::optional<core::Declarations> declarations;
-  std::vector<core::LoadedModel> wanted; ///< Weights to bring to all targets.
-  std::vector<std::string> unread;       ///< What was not understood, and why.
+  std::vector<core::LoadedModel>
+    wanted;                        ///< Weights to roll out to all targets.
+  std::vector<std::string> unread; ///< Rows that failed to parse, and why.
 };
 
-/// @brief What targets registered.
+/// @brief Registrations of targets.
 struct RegistryNews
 {
   std::uint64_t cursor = 0;
@@ -73,28 +74,28 @@
   std::vector<std::string> unread;
 };
 
-/// @brief A row that the instances share.
+/// @brief A row shared by the instances.
 struct SharedRow
 {
   std::string key;
-  std::optional<std::string> value; ///< Nothing: the row is gone.
-  std::uint64_t version = 0;        ///< Of the change that made it so.
+  std::optional<std::string> value; ///< Nothing: the row was removed.
+  std::uint64_t version = 0;        ///< Of its last change.
 };
 
-/// @brief What instances wrote for each other.
+/// @brief Rows that instances wrote for each other.
 struct SharedNews
 {
   std::uint64_t cursor = 0;
   std::vector<SharedRow> rows;
 };
 
-/// @brief Something that changes and can be followed.
+/// @brief A data source whose changes can be followed.
 template<typename News>
 class Feed
 {
 public:
   virtual ~Feed() = default;
-  /// @brief Reads all of it as of one moment. @throws PlatformError.
+  /// @brief Reads a consistent snapshot. @throws PlatformError.
   virtual boost::asio::awaitable<News> ReadAll() = 0;
   /// @return whether reading costs nothing, so that no pause is needed.
   [[nodiscard]] virtual bool IsFree() const { return false; }
@@ -107,58 +108,58 @@
 using OperatorFeed = Feed<OperatorNews>;
 using RegistryFeed = Feed<RegistryNews>;
 
-/// @brief Rows that instances share; the only state that outlives them.
+/// @brief Rows shared by the instances; the only state that outlives them.
 class SharedRows : public Feed<SharedNews>
 {
 public:
-  /// @brief Writes a row if it still has the version that is expected of it; 0
-  /// expects that there is none. No value removes it.
-  /// @return the row's new version; nothing when the row had changed.
-  /// @throws PlatformError; then the write may yet take effect.
+  /// @brief Writes a row if it still has the expected version; 0 expects that
+  /// there is none. No value removes the row.
+  /// @return the row's new version; nothing if the row had changed.
+  /// @throws PlatformError; the write may still take effect.
   virtual boost::asio::awaitable<std::optional<std::uint64_t>> Put(
     std::string aKey,
     std::optional<std::string> aValue,
     std::uint64_t aExpectedVersion) = 0;
 };
 
-/// @brief A target's own word on its weights; a few hundred ms old.
+/// @brief A target's report on its weights; a few hundred ms old.
 struct WeightsReport
 {
   std::vector<core::LoadedModel> models;
   std::uint64_t orders_taken = 0; ///< Since its start.
-  bool is_busy = false;           ///< Carries out an order.
-  std::uint32_t requests = 0;     ///< That run or wait there.
+  bool is_busy = false;           ///< Executes an order.
+  std::uint32_t requests = 0;     ///< Running or queued.
 };
 
-/// @brief What becomes of the requests that run when weights are replaced.
+/// @brief What happens to running requests when weights are replaced.
 enum class RunsMode : std::uint8_t
 {
-  kFinish, ///< They finish first, and the order waits for them.
-  kGoOn,   ///< They go on under the new weights.
+  kFinish, ///< The order waits until they finish.
+  kGoOn,   ///< They continue on the new weights.
 };
 
-/// @brief An order to load weights. The target refuses it when it took another
-/// order since `orders_taken`, or is not `target`.
+/// @brief An order to load weights. The target refuses it if it accepted
+/// another order since `orders_taken`, or is not `target`.
 struct LoadOrder
 {
   core::TargetId target;
   core::LoadedModel wanted;
   std::uint64_t orders_taken = 0;
-  std::string holder;              ///< Who gives it.
-  std::uint64_t fencing_token = 0; ///< Grows with each holder.
+  std::string holder;              ///< Lease holder that sends it.
+  std::uint64_t fencing_token = 0; ///< Increases with each holder.
   RunsMode runs = RunsMode::kFinish;
 };
 
 /// @brief How a target answered an order.
 enum class OrderAnswer : std::uint8_t
 {
-  kAccepted, ///< It is being carried out.
-  kHolds,    ///< The target has these weights.
-  kRefused,  ///< Another order is under way or was taken meanwhile, or the
-             ///< target is another one.
+  kAccepted, ///< It is being executed.
+  kHolds,    ///< The target already has these weights.
+  kRefused,  ///< Another order is running or was accepted meanwhile, or
+             ///< the target is another one.
 };
 
-/// @brief Speaks with targets about their weights.
+/// @brief Client for the weights API of targets.
 class TargetOrders
 {
 public:
@@ -166,24 +167,24 @@
   /// @throws PlatformError.
   virtual boost::asio::awaitable<WeightsReport> Report(
     std::string aAddress) = 0;
-  /// @throws PlatformError; then the order may yet be carried out.
+  /// @throws PlatformError; the order may still be executed.
   virtual boost::asio::awaitable<OrderAnswer> Load(std::string aAddress,
                                                    LoadOrder aOrder) = 0;
 };
 
-/// @brief Parts that a store is to free, if it has not started anew.
+/// @brief Parts that a store is to free, unless it has restarted since.
 struct FreeOrder
 {
   std::uint64_t epoch = 0;
   std::vector<core::ScopedPart> parts;
 };
 
-/// @brief Speaks with stores of kept KV cache.
+/// @brief Client of the KV cache stores.
 class StoreCalls
 {
 public:
   virtual ~StoreCalls() = default;
-  /// @brief Waits until something changed after `aSince`.
+  /// @brief Reads changes after `aSince`; waits until there are some.
   /// @throws PlatformError.
   virtual boost::asio::awaitable<core::PartEventPage>
   Read(std::string aAddress, std::uint64_t aSince, core::Duration aWait) = 0;
@@ -200,7 +201,7 @@
   std::unique_ptr<SharedRows> shared;
   std::unique_ptr<TargetOrders> orders;
   std::unique_ptr<StoreCalls> stores;
-  std::shared_ptr<KnownRows> known; ///< Part of the client of the rows.
+  std::shared_ptr<KnownRows> known; ///< Cache of the row client.
 };
 
 } // namespace jujubehead::node
--- a/include/jujubehead/node/control/store_relay.hpp
+++ b/include/jujubehead/node/control/store_relay.hpp
@@ -14,15 +14,15 @@
 
 namespace jujubehead::node {
 
-/// The line in which an instance tells another how long it waits for an answer,
-/// in whole milliseconds.
+/// Header with the time that the sender waits for the answer, in whole
+/// milliseconds.
 inline constexpr const char* kRelayTimeLine = "Relay-Time";
 
-/// @brief Passes calls of other instances on to the operators' store as they
-/// are, while this instance reaches the store itself.
+/// @brief Forwards requests of other instances unchanged to the operators'
+/// store, while this instance reaches the store directly.
 ///
-/// While it does not, reads are answered by what this instance knows, and
-/// everything else is refused at once: calls never take a second hop.
+/// Otherwise reads are answered from this instance's cached rows, and
+/// everything else is refused at once: requests never take a second hop.
 class StoreRelay
 {
 public:
@@ -39,7 +39,7 @@
   std::unique_ptr<net::HttpClient> m_client;
   const core::StorePaths& m_paths;
   const KnownRows& m_known;
-  bool m_refuses = false; ///< The last call was refused; for the log.
+  bool m_refuses = false; ///< The last request was refused; for the log.
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/control/entry_control.cpp
+++ b/src/jujubehead/node/control/entry_control.cpp
@@ -14,29 +14,31 @@
 
 namespace asio = boost::asio;
 
-/// How often lapsed registrations are looked at; against bounds of seconds.
+/// Interval of the check for lapsed registrations, whose limits are seconds.
 constexpr core::Duration kTickTime = std::chrono::milliseconds(400);
-/// Reports of many targets come together in one page after this pause, a third
-/// of the time in which a leaving target may still get work.
+/// Batches the reports of many targets into one page; a third of the time in
+/// which a leaving target may still receive requests.
 constexpr core::Duration kRegistryPause = std::chrono::milliseconds(650);
-/// What instances tell each other changes with roll-outs only; a connection
-/// that falls silent meanwhile costs requests that targets refuse.
+/// Shared rows change with roll-outs only; a connection that hangs meanwhile
+/// costs requests that targets refuse.
 constexpr core::Duration kSharedWait = std::chrono::milliseconds(4000);
-/// A roll-out writes at each target's begin and end; all instances read it, so
-/// they take what comes within half of the time after which its orders go out.
+/// Batches the writes of a roll-out, two for each target and read by all
+/// instances; half of the delay after which its orders are sent.
 constexpr core::Duration kSharedPause = std::chrono::milliseconds(150);
-/// Rows by which instances find each other: this, then the instance's id.
+/// Key prefix of the rows by which instances discover each other; the instance
+/// id follows.
 constexpr std::string_view kInstancePrefix = "instances/";
-/// Between two looks at those rows: a new instance is found within seconds.
+/// Check interval for those rows: a new instance is found within seconds.
 constexpr core::Duration kInstanceRowsTime = std::chrono::seconds(2);
-/// Instances that start together write their rows spread over this time, as
-/// one part of the store takes some 200 writes a second.
+/// Instances that start together spread the writes of their rows over this
+/// time, as one partition of the store takes some 200 writes a second.
 constexpr std::chrono::milliseconds kFirstRowLeast{ 100 };
 constexpr std::chrono::milliseconds kFirstRowMost{ 1100 };
-/// After a start: until all that start with it have written their rows.
+/// Time after a start until all instances that started with it have written
+/// their rows.
 constexpr core::Duration kRowsSettle = std::chrono::milliseconds(1600);
 
-/// @return the time until the first look at the instances' rows.
+/// @return the delay of the first check of the instances' rows.
 core::Duration
 FirstRowPause()
 {
@@ -131,7 +133,7 @@
     m_weights.SetWanted(aWanted);
     m_keeper.SetWanted(aWanted);
   };
-  // Whoever gives orders or frees parts knows no ends.
+  // Only the forwarder uses deadlines.
   hooks.on_moved = [this](const WantedByModel& aWanted) {
     m_forwarder.SetWantedWeights(aWanted);
   };
@@ -174,8 +176,8 @@
   };
   FollowOptions operator_options;
   operator_options.name = "operator";
-  // It is followed from the start: the times of what it says count from when it
-  // was first heard.
+  // Without a settling pause: deadlines count from when a change was first
+  // received.
   asio::co_spawn(m_context,
                  Follow(*m_platform.operators, operator_options, operators),
                  asio::detached);
@@ -312,7 +314,7 @@
   if (aIsAll) {
     m_instances.EndAll();
   }
-  // The rows of a roll-out come far more often than those of instances.
+  // Rows of a roll-out change far more often than those of instances.
   if (is_told_of_instances) {
     SetInstances();
   }
@@ -349,7 +351,7 @@
       continue;
     }
     try {
-      // What was written comes back with the news.
+      // The written row comes back with the next update.
       std::string key = std::string(kInstancePrefix) + write->id;
       co_await m_platform.shared->Put(
         std::move(key), write->value, write->expected_version);
--- a/src/jujubehead/node/control/entry_control.hpp
+++ b/src/jujubehead/node/control/entry_control.hpp
@@ -24,9 +24,9 @@
 
 namespace jujubehead::node {
 
-/// @brief What the control thread of an entry instance keeps: it follows the
-/// operator, the targets, the stores and the other instances, and hands what it
-/// learns to the traffic thread.
+/// @brief State of an entry instance's control thread: follows the operators'
+/// store, the target registry, the stores and the other instances, and passes
+/// updates to the traffic thread.
 class EntryControl
 {
 public:
@@ -36,20 +36,20 @@
                core::StorePaths& aPaths,
                Forwarder& aForwarder);
 
-  /// @brief Begins to follow; on the context from then on.
+  /// @brief Starts following; from then on call it on the context only.
   void Start();
-  /// @brief This instance is about to end.
+  /// @brief This instance is shutting down.
   void BeginStop() { m_weights.BeginStop(); }
-  /// @return whether enough is known to serve callers.
+  /// @return whether there is enough state to serve callers.
   [[nodiscard]] bool IsReady() const;
-  /// @return the version of the declarations in force; 0 before the first.
+  /// @return the version of the active declarations; 0 before the first.
   [[nodiscard]] std::uint64_t ConfigurationVersion() const;
-  /// @return what was read of the operators' store.
+  /// @return the rows read from the operators' store.
   [[nodiscard]] KnownRows& Known() const { return *m_platform.known; }
-  /// @return what answers instances that ask for news.
+  /// @return the exchange that answers polls of other instances.
   [[nodiscard]] HubExchange& Hubs() { return m_hubs; }
   [[nodiscard]] std::size_t Targets() const { return m_targets_in_all; }
-  /// @return the metrics of the weights that are wanted.
+  /// @return metrics of the wanted weights.
   [[nodiscard]] std::vector<Gauge> WeightsGauges() const
   {
     return m_deadlines.Gauges();
@@ -65,8 +65,8 @@
   void OnRegistryNews(const RegistryNews& aNews, bool aIsAll);
   void OnSharedNews(const SharedNews& aNews, bool aIsAll);
   void SetInstances();
-  /// @return whether this instance is to follow the operators' store, or a hub
-  /// tells what it says.
+  /// @return whether this instance follows the operators' store itself or
+  /// receives its rows from a hub.
   [[nodiscard]] bool IsSettled() const;
   boost::asio::awaitable<void> KeepInstanceRows();
   void PublishTargets();
--- a/src/jujubehead/node/control/follow.hpp
+++ b/src/jujubehead/node/control/follow.hpp
@@ -18,35 +18,35 @@
 
 namespace jujubehead::node {
 
-/// @brief How a feed is followed.
+/// @brief Options of Follow().
 struct FollowOptions
 {
-  std::string name; ///< For the log.
-  /// Longest wait for a change. A connection can fall silent for good, so each
-  /// wait is short and has a time-out of its own.
+  std::string name; ///< For log lines.
+  /// Longest wait for a change. A connection can hang for good without an
+  /// error, so each wait is short and has its own timeout.
   core::Duration wait = std::chrono::milliseconds(1200);
-  /// Pause after changes came, so that many small ones come together.
+  /// Pause after an update, so that small changes are batched.
   core::Duration pause{};
-  /// Longest pause after the first reading. When all instances start at once,
+  /// Longest pause after the first read. When all instances start at once,
   /// their own rows appear one by one, and each would be read by all of them
   /// (thundering herd); those that find a hub meanwhile need not read at all.
   core::Duration settle{};
-  /// Ends that pause.
+  /// Ends that pause early.
   std::function<bool()> is_settled = [] { return true; };
 };
 
-/// @brief What is done with what a feed tells.
+/// @brief Callbacks of Follow().
 template<typename News>
 struct FollowHooks
 {
-  /// @param aIsAll whether it is the whole, not only what changed.
+  /// @param aIsAll whether it is a full snapshot, not only the changes.
   std::function<void(const News& aNews, bool aIsAll)> on_news;
-  /// It told nothing this time.
+  /// A read failed.
   std::function<void(PlatformFault aWhy)> on_silence = [](PlatformFault) {};
 };
 
-/// @return a pause before asking again a service that did not answer, spread so
-/// that instances do not ask together.
+/// @return a random delay before a retry, so that instances do not retry a
+/// failed service all at once.
 inline core::Duration
 SpreadPause()
 {
@@ -57,8 +57,8 @@
   return std::chrono::milliseconds(spread(random));
 }
 
-/// @return the pause until an instance looks again whether it has become a hub,
-/// or is one no more.
+/// @return the interval at which an instance checks whether it has become a hub
+/// or ceased to be one.
 inline core::Duration
 RolePause(const core::HubRole& aRole)
 {
@@ -67,7 +67,7 @@
   return aRole.IsSettling(core::RuntimeClock::now()) ? kSettling : kUsual;
 }
 
-/// @brief Waits until a start has settled.
+/// @brief Waits until the instances that start together have settled.
 inline boost::asio::awaitable<void>
 Settle(FollowOptions aOptions)
 {
@@ -78,8 +78,9 @@
   }
 }
 
-/// @brief Follows a feed for ever, over outages and lost history. What is older
-/// than what was seen is passed over: a service may answer from the past.
+/// @brief Follows a feed for ever, across outages and lost history. Updates
+/// older than one already seen are skipped: a service may answer with stale
+/// data.
 template<typename News>
 boost::asio::awaitable<void>
 Follow(Feed<News>& aFeed, FollowOptions aOptions, FollowHooks<News> aHooks)
@@ -97,8 +98,8 @@
       if (reads_all) {
         news = co_await aFeed.ReadAll();
       } else {
-        // What changed while the start settled is read without a wait, as
-        // others may be waiting to hear of this instance that it did.
+        // Changes made during the start-up pause are read without a wait:
+        // others may be waiting for this instance to confirm them.
         const core::Duration wait =
           is_start ? core::Duration(0) : aOptions.wait;
         is_start = false;
@@ -116,7 +117,7 @@
         aHooks.on_news(news, reads_all);
       } else if (reads_all) {
         fault = PlatformFault::kUnusable;
-        why = "an answer from the past";
+        why = "response older than one already read";
       }
     } catch (const PlatformError& error) {
       fault = error.Fault();
--- a/src/jujubehead/node/control/hub_exchange.cpp
+++ b/src/jujubehead/node/control/hub_exchange.cpp
@@ -25,19 +25,19 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kUnavailable = 503;
 constexpr std::size_t kStartBytes = 6;
-/// The form in which loads are told; an instance of an older version tells them
-/// in another, and neither takes the other's.
+/// Version of the loads encoding; an older instance uses another one, and
+/// neither accepts the other's.
 constexpr const char* kLoadsForm = "2";
-/// Between two questions to a hub. With a hub's own call of a store it stays
-/// below the time for which a store is believed.
+/// Poll interval. Together with a hub's own poll of a store it stays below the
+/// time after which a store's state counts as stale.
 constexpr core::Duration kHubPause = std::chrono::milliseconds(220);
-/// A hub answers from memory; one that takes longer is frozen or cut off.
+/// A hub answers from memory; one that takes longer is hung or unreachable.
 constexpr core::Duration kHubTimeout = std::chrono::milliseconds(300);
-/// Rows that are older are not told: the one who asks reads the store itself. A
-/// hub's own wait for changes, its answer's way, and a late wake-up.
+/// Older rows are not sent; the polling instance then reads the store itself.
+/// Covers a hub's own wait for changes, network transit and a late wake-up.
 constexpr core::Duration kOldestRows = std::chrono::milliseconds(1400);
-/// After a hub's answer its next one is awaited for so long; then the store is
-/// read. Two questions, one of them in vain.
+/// How long rows from a hub count as fresh; then the store is read directly.
+/// Covers two polls, one of which fails.
 constexpr core::Duration kFedTime = std::chrono::milliseconds(900);
 
 std::uint64_t
@@ -179,8 +179,8 @@
   try {
     co_await m_client->Fetch(std::move(call));
   } catch (const std::exception&) {
-    // The next report replaces this one. Those that ask that hub leave it, and
-    // say so in the log.
+    // The next report replaces this one. A hub that fails is also noticed and
+    // logged by the instances that poll it.
   }
   m_sending.erase(aHub.id);
 }
@@ -204,7 +204,7 @@
                 "&rows=" + m_rows.Cursors();
   call.connect_timeout = kHubTimeout;
   call.idle_timeout = kHubTimeout;
-  // The hub's answer is as old as the question at most.
+  // The hub's data is at most as old as the request.
   const core::Instant asked = core::RuntimeClock::now();
   const net::HttpResponse response = co_await m_client->Fetch(std::move(call));
   if (response.status != kOk) {
@@ -263,7 +263,7 @@
   net::HttpResponse response;
   if (!m_role.IsHub()) {
     response.status = kUnavailable;
-    response.body = "this instance watches nothing for others\n";
+    response.body = "this instance is not a hub\n";
   } else {
     response.headers.Add("Content-Type", "application/cbor");
     response.body =
--- a/src/jujubehead/node/control/hub_exchange.hpp
+++ b/src/jujubehead/node/control/hub_exchange.hpp
@@ -26,41 +26,38 @@
 
 namespace jujubehead::node {
 
-/// The call by which an instance asks a hub for its news.
+/// Path of the request by which an instance polls a hub.
 inline constexpr std::string_view kHubNewsPath = "/hub-news";
-/// The call by which a hub passes on the loads of targets to another hub.
+/// Path of the request by which a hub sends target loads to another hub.
 inline constexpr std::string_view kHubLoadsPath = "/hub-loads";
 
-/// @brief What an exchange does with what it learns.
+/// @brief Callbacks of a HubExchange.
 struct HubHooks
 {
-  /// All that the operators' store had said at that time, at the latest, was
-  /// read.
+  /// All rows of the operators' store as of that time, or later, were read.
   std::function<void(core::Instant aTold)> on_heard;
-  /// Takes what others heard of targets' loads, and gives what this instance
-  /// heard, on the same thread, if later.
+  /// Takes target loads received from others and returns this instance's own
+  /// through the callback: on the same thread, possibly later.
   std::function<void(std::vector<core::HeardLoad> aTold,
                      std::function<void(std::vector<core::HeardLoad>)> aGive)>
     exchange_loads;
 };
 
-/// @brief While there are many instances, few of them, the hubs, watch what all
-/// need to know, and the others ask one of them a few times a second: which
-/// parts the stores hold, what changed in the operators' store, and the loads
-/// of the busiest targets.
+/// @brief Distributes shared state through hubs. In a large fleet a few
+/// instances, the hubs, watch the stores, and the others poll one of them a few
+/// times a second for the parts that the stores hold, changes in the operators'
+/// store, and the loads of the busiest targets.
 ///
-/// What a hub tells carries its age, so that an instance knows no less well
-/// than by itself how far it may go by it.
+/// Data from a hub carries its age, so that an instance can judge its freshness
+/// as well as if it had read the data itself.
 ///
-/// Each hub passes on the loads that were reported to it to all other hubs:
-/// a target is busy by the requests of all instances, and those that ask one
-/// hub are too few to notice in time (hot spots of a fleet whose instances each
-/// see a sample of it).
+/// Each hub forwards the loads reported to it to all other hubs, because a
+/// target's load comes from all instances: those that poll one hub are only a
+/// sample of the fleet, too small to detect a hot spot in time.
 class HubExchange
 {
 public:
-  /// @param aStores what a hub watches; an instance that asks gives it the
-  /// news.
+  /// @param aStores watched by a hub; a polling instance applies updates to it.
   HubExchange(boost::asio::io_context& aContext,
               const core::HubRole& aRole,
               StoreWatch& aStores,
@@ -75,25 +72,25 @@
   boost::asio::awaitable<void> HandleLoads(net::HttpExchange& aExchange);
 
 private:
-  /// Where a hub's news go on.
+  /// Position in a hub's updates.
   struct Cursor
   {
     std::string start;
     core::PartCursor parts;
-    bool takes_loads = false; ///< Whether the hub knows the form of loads.
+    bool takes_loads = false; ///< Whether the hub supports kLoadsForm.
   };
 
   boost::asio::awaitable<void> FollowHubs();
-  /// @return whether the hub has more to tell at once.
+  /// @return whether the hub has more data to send at once.
   boost::asio::awaitable<bool> AskHub(core::KnownInstance aHub,
                                       Cursor& aCursor);
   boost::asio::awaitable<void> ShareOwnLoads();
-  /// @brief Begins to pass on what was reported here since the last time to
-  /// the other hubs, but those that have not answered the last time yet.
+  /// @brief Starts sending the loads reported here since the last call to the
+  /// other hubs, except those with a request still outstanding.
   void PassOnLoads();
   boost::asio::awaitable<void> SendLoads(core::KnownInstance aHub,
                                          std::string aLoads);
-  /// @brief A load was reported by this instance or one that asks it.
+  /// @brief A load was reported by this instance or by one that polls it.
   void OnReported(const core::HeardLoad& aLoad);
   boost::asio::awaitable<std::vector<core::HeardLoad>> ExchangeLoads(
     std::vector<core::HeardLoad> aTold);
@@ -105,15 +102,15 @@
   KnownRows& m_rows;
   core::StorePaths& m_paths;
   HubHooks m_hooks;
-  std::vector<core::HeardLoad> m_untold_loads; ///< Own, for the next question.
-  /// By hub, so that one that is asked again goes on where it was left.
+  std::vector<core::HeardLoad> m_untold_loads; ///< Own, for the next poll.
+  /// By hub id, so that polling a hub again resumes where it stopped.
   std::map<std::string, Cursor> m_cursors;
   std::minstd_rand m_random{ std::random_device{}() };
   std::uniform_real_distribution<> m_jitter{ 0, 1 };
-  core::LoadNews m_loads;    ///< What this instance, being a hub, was told.
-  core::LoadNews m_unshared; ///< Of these, what other hubs were not told.
-  std::set<std::string> m_sending; ///< Hubs that have yet to answer, by id.
-  std::string m_start;             ///< Names this start of this instance.
+  core::LoadNews m_loads;          ///< Reported to this instance as a hub.
+  core::LoadNews m_unshared;       ///< Of these, not yet sent to other hubs.
+  std::set<std::string> m_sending; ///< Ids of hubs with a pending request.
+  std::string m_start;             ///< Identifies this run of the process.
   std::unique_ptr<net::HttpClient> m_client;
 };
 
--- a/src/jujubehead/node/control/hub_news_codec.cpp
+++ b/src/jujubehead/node/control/hub_news_codec.cpp
@@ -14,14 +14,14 @@
 
 using nlohmann::json;
 
-/// Places in the lists, which stand for objects to keep the message short.
+/// Array indices; arrays replace objects to keep the message small.
 enum StorePlace : std::size_t
 {
   kId,
   kEpoch,
   kAgeMs,
 };
-/// A load in eight bytes: the target's key, lowest byte first, and then these.
+/// Layout of a load: the little-endian target key, then these bytes.
 enum LoadByte : std::size_t
 {
   kRunning = sizeof(core::TargetKey),
@@ -33,7 +33,7 @@
 
 constexpr unsigned kByteBits = 8;
 constexpr std::int64_t kMostInByte = 255;
-/// Instead of running requests: the target is gone.
+/// Value of the running byte that marks a removed target.
 constexpr std::uint32_t kGoneMark = 255;
 constexpr core::Duration kAgeUnit = std::chrono::milliseconds(10);
 
@@ -63,7 +63,7 @@
   return static_cast<unsigned char>(aByte);
 }
 
-/// Requests that run, so that no count reads as kGoneMark.
+/// Running requests, capped so that no count equals kGoneMark.
 std::uint32_t
 RunningByte(const core::HeardLoad& aLoad)
 {
@@ -112,7 +112,8 @@
 LoadsOf(std::string_view aBytes, core::Instant aTold)
 {
   if (aBytes.size() % kLoadBytes != 0) {
-    throw std::invalid_argument("loads cut short");
+    throw std::invalid_argument(
+      "size of the loads is not a multiple of the entry size");
   }
   std::vector<core::HeardLoad> loads;
   loads.reserve(aBytes.size() / kLoadBytes);
@@ -129,7 +130,7 @@
   std::map<core::StoreId, std::size_t> places;
   for (const core::HeardStore& store : aNews.parts.stores) {
     places.emplace(store.store, stores.size());
-    // Rounded up, so that nothing seems newer than it is.
+    // Rounded up, so that data never appears newer than it is.
     stores.push_back(json::array(
       { store.store.Text(), store.epoch, Milliseconds(store.age) + 1 }));
   }
@@ -188,7 +189,7 @@
     result.rows =
       RowNews{ rows->get<std::string>(), std::chrono::milliseconds(age) };
   }
-  // An instance of an older version tells them in another form.
+  // An older version sends another encoding.
   const json& loads = message.at("loads");
   result.has_loads = loads.is_string();
   if (result.has_loads) {
--- a/src/jujubehead/node/control/hub_news_codec.hpp
+++ b/src/jujubehead/node/control/hub_news_codec.hpp
@@ -13,32 +13,32 @@
 
 namespace jujubehead::node {
 
-/// @brief What a hub tells another instance.
+/// @brief A hub's reply to a poll.
 struct HubNews
 {
-  /// Names the start of the one who tells; places of another start mean
-  /// nothing to it.
+  /// Identifies the hub's run; cursors from another run are not valid in it.
   std::string start;
   core::PartNews parts;
-  /// The clock of targets and stores when it was told, in ms.
+  /// Clock of targets and stores at the time of sending, in ms.
   std::optional<std::int64_t> clock_ms;
   std::vector<core::HeardLoad> loads; ///< Of the busiest targets.
-  /// Whether both sides know the present form of loads.
+  /// Whether both sides support the current loads encoding.
   bool has_loads = false;
-  /// Of the operators' store; nothing while the hub does not hear it.
+  /// Of the operators' store; empty while the hub cannot reach it.
   std::optional<RowNews> rows;
 };
 
-/// @return loads in eight bytes each, with their ages, and back. Counts end at
-/// 255, ages at 2.5 s. @throws std::exception when the bytes are no loads.
+/// @brief Encodes loads with their ages in eight bytes each, and decodes them.
+/// Counts saturate at 255, ages at 2.5 s.
+/// @throws std::exception on malformed bytes.
 std::string
 LoadsToBytes(const std::vector<core::HeardLoad>& aLoads, core::Instant aNow);
 std::vector<core::HeardLoad>
 LoadsOf(std::string_view aBytes, core::Instant aTold);
 
-/// @return the message as CBOR, and back. @throws std::exception when the bytes
-/// are no such message.
-/// @param aTold when it was told, at the latest, by the reader's clock.
+/// @brief Encodes the message as CBOR, and decodes it.
+/// @param aTold latest time of sending, by the reader's clock.
+/// @throws std::exception on malformed bytes.
 std::string
 ToBytes(const HubNews& aNews, core::Instant aNow);
 HubNews
--- a/src/jujubehead/node/control/hub_news_codec_test.cpp
+++ b/src/jujubehead/node/control/hub_news_codec_test.cpp
@@ -37,7 +37,7 @@
   }
 };
 
-TEST(HubNewsCodec, WhatIsWrittenIsReadBack)
+TEST(HubNewsCodec, RoundTrip)
 {
   const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
   STRCMP_EQUAL("i1/abc", back.start.c_str());
@@ -51,7 +51,7 @@
   LONGS_EQUAL(3, back.loads.at(0).load.waiting);
   CHECK(back.loads.at(0).heard <= message.loads.at(0).heard);
   CHECK(back.rows->age >= message.rows->age);
-  // An age is never told too small.
+  // Ages are rounded up.
   CHECK(back.parts.stores.at(1).age >= message.parts.stores.at(1).age);
   CHECK(back.parts.changes.at(0).store == core::StoreId("s2"));
   LONGS_EQUAL(800, back.parts.changes.at(0).tokens);
@@ -60,7 +60,7 @@
   STRCMP_EQUAL("w1", back.parts.changes.at(2).scope.c_str());
 }
 
-TEST(HubNewsCodec, BytesCutShortOrOfAnotherKindAreRefused)
+TEST(HubNewsCodec, RejectsTruncatedOrMalformedBytes)
 {
   const std::string bytes = node::ToBytes(message, kNow);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -69,12 +69,12 @@
       node::HubNewsOf(std::string_view(bytes).substr(0, length), kNow));
   }
   CHECK_THROWS(std::exception, node::HubNewsOf("{\"start\":1}", kNow));
-  // A change of a store that is not listed.
+  // A change that refers to a store not in the list.
   message.parts.changes.at(0).store = core::StoreId("s3");
   CHECK_THROWS(std::exception, node::ToBytes(message, kNow));
 }
 
-TEST(HubNewsCodec, ALoadTakesEightBytesAndCountsEndAtTheirMost)
+TEST(HubNewsCodec, LoadTakesEightBytesAndCountsSaturate)
 {
   core::HeardLoad full{ core::KeyOf(core::TargetId("t2")),
                         { 4000, 4000, 4000 },
@@ -91,8 +91,8 @@
   CHECK(back.at(1).is_gone && back.at(1).target == gone.target);
 }
 
-// A rolling replacement: an instance of an older version tells loads as a list.
-TEST(HubNewsCodec, LoadsInAnotherFormAreLeftOut)
+// During a rolling upgrade an older instance sends loads as a list.
+TEST(HubNewsCodec, IgnoresLoadsInAnotherEncoding)
 {
   message.has_loads = false;
   const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
@@ -101,7 +101,7 @@
   LONGS_EQUAL(42, back.parts.cursor.next);
 }
 
-TEST(HubNewsCodec, LoadsAreReadBackAndNoneFromOtherBytes)
+TEST(HubNewsCodec, LoadsRoundTripAndMalformedLoadsAreRejected)
 {
   const auto back =
     node::LoadsOf(node::LoadsToBytes(message.loads, kNow), kNow);
--- a/src/jujubehead/node/control/store_keeper.cpp
+++ b/src/jujubehead/node/control/store_keeper.cpp
@@ -17,15 +17,15 @@
 namespace asio = boost::asio;
 
 constexpr core::Duration kLookTime = std::chrono::seconds(1);
-/// For the transit of what was heard, and clocks that run unevenly.
+/// Covers message transit and clock drift.
 constexpr core::Duration kMargin = std::chrono::milliseconds(1000);
-/// From one rank's turn to the next: a call to the store, and the time until
-/// all have heard of what it freed.
+/// Delay per rank: a call to the store, and the time until all instances have
+/// received its events.
 constexpr core::Duration kTurn = std::chrono::milliseconds(1500);
-/// Blocks in one call; their names take some 40 bytes each.
+/// Blocks per call; their names take some 40 bytes each.
 constexpr std::size_t kMostAtOnce = 400;
 
-/// Nobody reads blocks that were superseded for this long.
+/// Blocks superseded for this long have no readers.
 constexpr core::Duration kUnreadAfter = kHearTime + kReadTime + kMargin;
 
 } // namespace
--- a/src/jujubehead/node/control/store_keeper.hpp
+++ b/src/jujubehead/node/control/store_keeper.hpp
@@ -18,31 +18,31 @@
 
 namespace jujubehead::node {
 
-/// @brief What a StoreKeeper asks of its instance.
+/// @brief Callbacks of a StoreKeeper.
 struct StoreKeeperHooks
 {
-  /// @return this instance's place among all for a store; 0 is the first.
+  /// @return this instance's rank among all instances for a store, from 0.
   std::function<std::size_t(const core::StoreId& aStore)> rank;
-  /// Nobody reads the blocks of these scopes any more.
+  /// The blocks of these scopes are no longer read.
   std::function<void(core::SupersededScopes aScopes)> on_unread;
 };
 
-/// @brief Frees the prefix blocks of superseded weights, so that those of the
-/// new weights find room.
+/// @brief Frees the prefix blocks of superseded weights to make room for those
+/// of the new weights.
 ///
-/// Nobody can be reading such a block by then, without any agreement: an
-/// instance reads blocks only while it has heard the operator within
-/// `kHearTime`, only those of the newest weights that it knows, and each read
-/// ends within `kReadTime`. So a block is freed no earlier than both of these
-/// and a margin after this instance heard of newer weights, and it does not
-/// matter whether two instances free the same.
+/// No coordination is needed to know that such a block has no readers: an
+/// instance reads blocks only if its last response from the operators' store is
+/// at most `kHearTime` old, only those of the newest weights that it knows, and
+/// each read ends within `kReadTime`. So a block is freed no earlier than the
+/// sum of both and a margin after this instance learned of newer weights.
+/// Freeing a block twice is harmless.
 ///
-/// By the same rule every instance forgets these blocks, so that nobody has to
-/// tell the others which ones were freed.
+/// By the same rule every instance drops these blocks from its directory, so
+/// that freed blocks need not be announced.
 ///
-/// Instances take turns by rank, another order for each store, and each frees
-/// what it knew: so it does not matter if the first ones are gone. Else all of
-/// them would free everything everywhere at one moment (thundering herd).
+/// Instances take turns by rank, in a different order for each store, and each
+/// frees all blocks that it knows, so the failure of earlier ones does no harm.
+/// Without turns all would free everything at once (thundering herd).
 class StoreKeeper
 {
 public:
@@ -53,7 +53,7 @@
   void Start();
   void SetStores(const std::vector<core::DeclaredStore>& aStores);
   void SetWanted(const std::map<core::ModelId, core::WantedWeights>& aWanted);
-  /// @param aHeard when the store said so, at the latest.
+  /// @param aHeard latest time at which the page was current at the store.
   void OnPage(const core::StoreId& aStore,
               const core::PartEventPage& aPage,
               core::Instant aHeard);
@@ -61,10 +61,10 @@
 
 private:
   boost::asio::awaitable<void> Run();
-  /// @brief Frees all that is due at a store, in pieces.
-  /// @return whether superseded blocks are left there.
+  /// @brief Frees all due blocks of a store, in batches.
+  /// @return whether superseded blocks remain there.
   boost::asio::awaitable<bool> FreeAt(core::DeclaredStore aStore);
-  /// @return blocks superseded for that long, at most one call's worth.
+  /// @return blocks superseded for at least aFor, up to one batch.
   [[nodiscard]] std::vector<core::ScopedPart> SupersededAt(
     const core::StoreId& aStore,
     core::Duration aFor) const;
@@ -78,8 +78,8 @@
   std::vector<core::DeclaredStore> m_stores;
   core::SupersededVersions m_versions;
   core::PartDirectory m_parts;
-  std::size_t m_due = 0;    ///< Versions whose blocks were forgotten.
-  bool m_has_turns = false; ///< Blocks may be left to free, now or later.
+  std::size_t m_due = 0;    ///< Versions whose blocks were dropped.
+  bool m_has_turns = false; ///< Blocks may remain to be freed.
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/control/store_relay.cpp
+++ b/src/jujubehead/node/control/store_relay.cpp
@@ -14,10 +14,11 @@
 
 constexpr unsigned kUnavailable = 503;
 constexpr core::Duration kConnectTimeout = std::chrono::milliseconds(300);
-/// Kept from the time that the other instance waits, for the way back.
+/// Subtracted from the time that the sender waits, for the reply's transit.
 constexpr core::Duration kWayBack = std::chrono::milliseconds(60);
-/// Bounds of what another instance may ask for: a call's usual time, and the
-/// longest wait for a change with its time-out.
+/// Bounds of the time that a sender may ask for, and its default: the upper one
+/// is the longest wait for a change with its timeout, the default the usual
+/// timeout of a call.
 constexpr std::int64_t kLeastMs = 100;
 constexpr std::int64_t kMostMs = 6000;
 constexpr std::int64_t kUsualMs = 700;
@@ -48,7 +49,8 @@
 StoreRelay::Handle(net::HttpExchange& aExchange)
 {
   std::optional<net::HttpResponse> answer;
-  std::string why = "this instance does not reach the store";
+  std::string why =
+    "the operators' store is not directly reachable from this instance";
   if (m_paths.IsStraight()) {
     try {
       answer = co_await PassOn(aExchange.Request());
--- a/src/jujubehead/node/control/store_watch.cpp
+++ b/src/jujubehead/node/control/store_watch.cpp
@@ -15,8 +15,8 @@
 
 namespace asio = boost::asio;
 
-/// A store that has no place for a call is asked again after this many of the
-/// usual pauses, since many others ask it.
+/// Multiple of the usual retry delay for a store that is busy, since many other
+/// instances poll it.
 constexpr int kBusyPauses = 4;
 
 } // namespace
@@ -72,7 +72,7 @@
     core::PartEventPage page = co_await m_calls.Read(
       aStore.address, aCursor.since, core::WatchWait(aWatchers));
     const core::Instant now = core::RuntimeClock::now();
-    // A store that started anew counts its events from the beginning.
+    // A restarted store numbers its events from the start again.
     const bool is_new = page.epoch != aCursor.epoch;
     aCursor.since = is_new && aCursor.epoch != 0 ? 0 : page.next;
     aCursor.epoch = page.epoch;
@@ -119,7 +119,7 @@
     core::Duration pause =
       core::WatchPause(core::RuntimeClock::now() - begun, watchers);
     if (word == StoreWord::kBusy) {
-      // It is there, so what it told is believed for its usual time.
+      // The store is up, so its last page stays valid for the usual time.
       pause = kBusyPauses * SpreadPause();
     } else if (word == StoreWord::kSilent) {
       m_log.OnSilence(aStore.id);
--- a/src/jujubehead/node/control/store_watch.hpp
+++ b/src/jujubehead/node/control/store_watch.hpp
@@ -22,10 +22,10 @@
 
 namespace jujubehead::node {
 
-/// @brief What is done with what stores tell.
+/// @brief Callbacks of a StoreWatch.
 struct StoreWatchHooks
 {
-  /// @param aHeard when the store said so, at the latest.
+  /// @param aHeard latest time at which the page was current at the store.
   std::function<void(const core::StoreId& aStore,
                      core::PartEventPage aPage,
                      core::Instant aHeard)>
@@ -33,45 +33,45 @@
   std::function<void(const core::StoreId& aStore)> on_silence;
 };
 
-/// @brief Learns which parts of prompts the stores hold.
+/// @brief Tracks which parts of prompts the stores hold.
 ///
-/// A store holds few calls for its events at once. While there are few
-/// instances, each asks the stores itself; else the hubs do, and the others ask
-/// a hub; see HubExchange.
+/// A store accepts few concurrent long polls for its events. In a small fleet
+/// each instance polls the stores itself; in a larger one the hubs do, and the
+/// others poll a hub; see HubExchange.
 class StoreWatch
 {
 public:
-  /// @param aRole says whether this instance watches.
+  /// @param aRole decides whether this instance polls the stores.
   StoreWatch(boost::asio::io_context& aContext,
              StoreCalls& aCalls,
              const core::HubRole& aRole,
              StoreWatchHooks aHooks);
 
   void SetStores(const std::vector<core::DeclaredStore>& aStores);
-  /// @return what this instance, being a hub, knows of the stores.
+  /// @return the changes at the stores, as a hub sends them to others.
   [[nodiscard]] const core::PartLog& Log() const { return m_log; }
   [[nodiscard]] std::optional<std::int64_t> ClockMs(core::Instant aNow) const
   {
     return m_clock.At(aNow);
   }
-  /// @brief Takes what a hub told.
-  /// @param aTold when it did, at the latest.
+  /// @brief Applies an update from a hub.
+  /// @param aTold latest time at which the hub sent it.
   void TakeNews(const core::PartNews& aNews,
                 std::optional<std::int64_t> aClockMs,
                 core::Instant aTold);
-  /// @brief Forgets the blocks of scopes that nobody reads any more.
+  /// @brief Drops the blocks of scopes that are no longer read.
   void Forget(core::SupersededScopes aScopes);
 
 private:
-  /// What came of asking a store for its events.
+  /// Result of polling a store for events.
   enum class StoreWord : std::uint8_t
   {
     kHeard,
-    kBusy, ///< It had no place for the call.
+    kBusy, ///< It accepts no more polls now.
     kSilent,
   };
 
-  /// Where one store's events go on.
+  /// Position in one store's events.
   struct StoreCursor
   {
     std::uint64_t since = 0;
@@ -89,7 +89,7 @@
   StoreCalls& m_calls;
   const core::HubRole& m_role;
   StoreWatchHooks m_hooks;
-  std::map<core::StoreId, std::string> m_followed; ///< With their addresses.
+  std::map<core::StoreId, std::string> m_followed; ///< Store to address.
   core::PartLog m_log;
   TargetClock m_clock;
 };
--- a/src/jujubehead/node/control/weights_deadlines.cpp
+++ b/src/jujubehead/node/control/weights_deadlines.cpp
@@ -19,19 +19,19 @@
 namespace asio = boost::asio;
 
 constexpr std::string_view kRecordPrefix = "weights_named/"; // then the model
-/// Requests may begin on replaced weights for this part of the allowed time;
-/// the rest is for the way of what ends them.
+/// Fraction of the allowed time in which requests may start on replaced
+/// weights; the rest covers the transit of the message that ends them.
 constexpr double kOldWeightsShare = 0.95;
-/// When no other bound is set, the time in all is this many times the time in
-/// one stretch.
+/// Default ratio of the total time to the time in one stretch.
 constexpr double kUsualTimeInAll = 1.4;
-/// An instance's row is with the others within 0.2 s: they read what comes
-/// together every 0.15 s.
+/// Delay per rank. A written row reaches the others within 0.2 s, as they read
+/// batches every 0.15 s.
 constexpr core::Duration kTurn = std::chrono::milliseconds(250);
-/// Beyond it nobody waits: that many instances do not fail together unless all
-/// do.
+/// Cap on the ranks waited for: more instances than this do not fail together
+/// unless all do.
 constexpr std::size_t kMostTurns = 8;
-/// One that only assumes leaves it to those that were told.
+/// Extra delay when the naming time is only assumed, so that instances that
+/// observed it write first.
 constexpr core::Duration kAssumedWait = std::chrono::seconds(2);
 constexpr core::Duration kRetryPause = std::chrono::milliseconds(500);
 
@@ -148,7 +148,7 @@
 {
   const core::Instant now = core::RuntimeClock::now();
   for (const auto& [version, named] : m_recorded[aModel].namings) {
-    // The store's rows and its clock come with the same answers.
+    // The store's rows and its clock come in the same responses.
     const auto when = m_store_clock.EarliestOf(named, now);
     if (when && m_old.OnRecorded(aModel, version, *when, now)) {
       DecisionLog::WriteAlways(LogLine("weights_naming_read")
@@ -188,8 +188,9 @@
   core::NamingRecord record =
     found == m_recorded.end() ? core::NamingRecord{} : found->second.namings;
   for (const auto& [version, naming] : m_old.ToRecord(aModel)) {
-    // What is recorded stays as it is: worked out anew from bounds that grow
-    // wider, it would be written back and forth for ever.
+    // Recorded values are never replaced: recomputed from widening clock bounds
+    // they would differ each time, and instances would overwrite each other for
+    // ever.
     if (const auto named = m_store_clock.LeastAt(naming.when)) {
       record.emplace(version, *named);
     }
@@ -258,11 +259,11 @@
       FindDue(aModel);
       co_return;
     }
-    why = "another instance wrote it";
+    why = "row changed since it was read";
   } catch (const PlatformError& error) {
     why = error.what();
   }
-  // The row as it is now comes with the news.
+  // The current row arrives with the next update.
   DecisionLog::WriteAlways(LogLine("weights_naming_unwritten")
                              .Add("model", aModel.View())
                              .Add("why", why));
--- a/src/jujubehead/node/control/weights_deadlines.hpp
+++ b/src/jujubehead/node/control/weights_deadlines.hpp
@@ -21,21 +21,22 @@
 
 using WantedByModel = std::map<core::ModelId, core::WantedWeights>;
 
-/// @brief What is told of wanted weights and their deadlines.
+/// @brief Callbacks of WeightsDeadlines.
 struct WeightsDeadlinesHooks
 {
   /// A newer version is wanted.
   std::function<void(const WantedByModel&)> on_wanted;
-  /// Only ends of older versions moved.
+  /// Only deadlines of older versions moved.
   std::function<void(const WantedByModel&)> on_moved;
 };
 
-/// @brief Keeps until when requests may begin on older weights.
+/// @brief Tracks the deadline until which requests may start on older weights.
 ///
-/// Operators count from when newer weights were named; an instance that starts
-/// later cannot know that by itself. So instances record it in their shared
-/// table, on the store's clock: the first in an order that all know writes, and
-/// the next ones when it did not. One write for each naming.
+/// The deadline counts from when the operator named newer weights, which an
+/// instance that starts later cannot know by itself. So instances record that
+/// time in their shared table, by the store's clock. The order in which they
+/// try is known to all, and each writes only if those before it did not: one
+/// write per naming.
 class WeightsDeadlines
 {
 public:
@@ -48,10 +49,10 @@
 
   void Start();
   void OnOperatorNews(const OperatorNews& aNews, bool aIsAll);
-  /// @brief The operator's rows could not be read.
+  /// @brief A read of the operator's rows failed.
   void OnOperatorFailure();
   void OnSharedNews(const SharedNews& aNews, bool aIsAll);
-  /// @return the metrics of the weights that are wanted.
+  /// @return metrics of the wanted weights.
   [[nodiscard]] std::vector<Gauge> Gauges() const;
 
 private:
@@ -59,8 +60,8 @@
   struct Recorded
   {
     core::NamingRecord namings;
-    std::uint64_t version = 0; ///< Of the row; 0: there is none.
-    /// Since when it has to be written.
+    std::uint64_t version = 0; ///< Of the row; 0 if there is none.
+    /// Since when a write is due.
     std::optional<core::Instant> is_due_since;
   };
 
@@ -71,7 +72,7 @@
   boost::asio::awaitable<void> Run();
   boost::asio::awaitable<void> Write(core::ModelId aModel);
   [[nodiscard]] core::NamingRecord RecordOf(const core::ModelId& aModel) const;
-  /// @return how long this instance leaves the writing to others.
+  /// @return how long this instance lets others write first.
   [[nodiscard]] core::Duration Patience(const core::ModelId& aModel) const;
   [[nodiscard]] core::Duration OlderLeft(const core::ModelId& aModel) const;
 
@@ -82,7 +83,7 @@
   std::string m_self;
   WeightsDeadlinesHooks m_hooks;
   core::OldWeights m_old;
-  WantedByModel m_wanted; ///< As last told.
+  WantedByModel m_wanted; ///< As last published.
   bool m_is_shared_read = false;
   std::map<core::ModelId, Recorded> m_recorded;
   net::Timer m_wake;
--- a/src/jujubehead/node/control/weights_deadlines_test.cpp
+++ b/src/jujubehead/node/control/weights_deadlines_test.cpp
@@ -17,7 +17,7 @@
 
 const core::ModelId kModel("m1");
 constexpr std::size_t kInstances = 9;
-/// The store's clock against this process's.
+/// Offset of the store's clock from this process's.
 constexpr core::RemoteMs kAhead = 70000;
 
 core::RemoteMs
@@ -33,7 +33,7 @@
   return "i" + std::to_string(aIndex);
 }
 
-/// The rows that the instances share.
+/// Rows shared by the instances.
 struct Rows
 {
   std::map<std::string, node::SharedRow> rows;
@@ -80,7 +80,7 @@
   Rows& m_rows;
 };
 
-/// One start of an instance.
+/// One run of an instance.
 struct Instance
 {
   Instance(asio::io_context& aContext, Rows& aRows, std::size_t aIndex)
@@ -163,7 +163,8 @@
     core::RuntimeClock::Resume();
   }
 
-  /// Starts some instances, which have read all rows, and names newer weights.
+  /// Starts instances from aFrom on, lets them read all rows, and names version
+  /// 2.
   void Name2(std::size_t aFrom)
   {
     for (std::size_t i = aFrom; i < kInstances; ++i) {
@@ -177,7 +178,7 @@
   }
 };
 
-TEST(WeightsDeadlines, OneOfManyRecordsANaming)
+TEST(WeightsDeadlines, OnlyOneInstanceRecordsNaming)
 {
   Name2(0);
   context.run_for(milliseconds(700));
@@ -187,21 +188,21 @@
   }
 }
 
-TEST(WeightsDeadlines, WhenSomeAreGoneTheNextOneRecordsIt)
+TEST(WeightsDeadlines, NextInstanceRecordsWhenFirstOnesAreGone)
 {
   Name2(3);
   context.run_for(milliseconds(1500));
   LONGS_EQUAL(1, rows.writes);
 }
 
-TEST(WeightsDeadlines, TheOnlyOneThatIsLeftRecordsIt)
+TEST(WeightsDeadlines, LastRemainingInstanceRecords)
 {
   Name2(kInstances - 1);
   context.run_for(milliseconds(2300));
   LONGS_EQUAL(1, rows.writes);
 }
 
-TEST(WeightsDeadlines, WhoStartsLaterCountsFromTheRecord)
+TEST(WeightsDeadlines, LaterInstanceUsesRecordedNaming)
 {
   Name2(0);
   context.run_for(milliseconds(300));
@@ -209,13 +210,13 @@
   instances.clear();
   Instance later(context, rows, 3);
   later.TellOperator(2, true);
-  // Not before it has looked: the time may be over.
+  // No requests before the record is read: the deadline may have passed.
   CHECK(later.End() < core::RuntimeClock::now());
   later.TellRows(rows);
   CHECK(IsNear(later.End(), end));
 }
 
-TEST(WeightsDeadlines, WithNothingRecordedHalfOfTheTimeIsLeftAndIsRecorded)
+TEST(WeightsDeadlines, WithoutRecordHalfOfTheTimeIsAssumedAndRecorded)
 {
   Instance first(context, rows, 0);
   first.TellOperator(2, true);
@@ -230,7 +231,7 @@
   CHECK(IsNear(second.End(), half));
 }
 
-TEST(WeightsDeadlines, WhatIsRecordedIsNotWrittenAgainHoursLater)
+TEST(WeightsDeadlines, RecordedNamingIsNotRewrittenHoursLater)
 {
   Name2(0);
   context.run_for(milliseconds(300));
@@ -247,7 +248,7 @@
   LONGS_EQUAL(1, rows.writes);
 }
 
-TEST(WeightsDeadlines, AnAnswerAfterASingleFailureTakesTheMoveBack)
+TEST(WeightsDeadlines, AnswerAfterIsolatedFailureRestoresDeadline)
 {
   Instance one(context, rows, 0);
   one.TellOperator(1, true);
@@ -263,7 +264,7 @@
   core::RuntimeClock::Advance(milliseconds(100));
   one.deadlines->OnOperatorFailure();
   CHECK(one.End() > end);
-  // A hub tells what the store said before these calls.
+  // A hub's update may predate these calls.
   node::OperatorNews news;
   news.asked = before;
   news.told = before;
--- a/src/jujubehead/node/control/weights_giver.cpp
+++ b/src/jujubehead/node/control/weights_giver.cpp
@@ -20,30 +20,32 @@
 constexpr std::string_view kLeaseKey = "orders/lease";
 constexpr std::string_view kStatePrefix = "weights/"; // then the model
 constexpr std::size_t kStartBytes = 6;
-/// Between two looks at what is to be done, when nothing else wakes it.
+/// Intervals between checks for work when nothing else wakes the loop.
 constexpr core::Duration kIdleTime = std::chrono::seconds(2);
 constexpr core::Duration kBusyTime = std::chrono::milliseconds(200);
-/// The last holder goes first, so that the lease need not wait out.
+/// Delay of others, so that the last holder renews first and the lease need not
+/// expire.
 constexpr core::Duration kOthersWait = std::chrono::milliseconds(150);
-/// The other instances hear of a target that is about to load within this, and
-/// what they sent there before has begun.
+/// Within this time the other instances learn that a target is about to load,
+/// and the requests that they sent there before have started.
 constexpr core::Duration kNoticeTime = std::chrono::milliseconds(300);
-/// Runs get so long to finish before the order; most end within a second, and
-/// the rest of a long one is worth less than the target's time.
+/// Time for running requests to finish before the order. Most end within a
+/// second; waiting for longer ones costs more target time than it saves.
 constexpr core::Duration kFinishTime = std::chrono::milliseconds(1000);
-/// An order is at its target within its time-outs, or never.
+/// An order reaches its target within its timeouts, or never.
 constexpr core::Duration kOrderTime = std::chrono::milliseconds(650);
-/// Loading takes most of a second after the runs have ended.
+/// First poll after an order; loading takes most of a second once the running
+/// requests have ended.
 constexpr core::Duration kFirstLook = std::chrono::milliseconds(700);
 constexpr core::Duration kNextLook = std::chrono::milliseconds(120);
-/// An order that stays unanswered is sent again after this, in case it was
-/// lost; targets take only the first of them that comes.
+/// Resend interval of an unanswered order, in case it was lost; a target
+/// accepts only the first one that arrives.
 constexpr core::Duration kSendOrderAgain = std::chrono::seconds(2);
-/// A target that did not load by then is left to a later try.
+/// A target that has not loaded by then is retried later.
 constexpr core::Duration kLoadTimeout = std::chrono::seconds(8);
 constexpr core::Duration kRetryTarget = std::chrono::seconds(1);
-/// What another instance said of its loading is believed for so long; it says
-/// more whenever a target begins or ends.
+/// How long another instance's state of loading targets is valid; it is updated
+/// whenever a target starts or finishes.
 constexpr core::Duration kBelieveTime = std::chrono::seconds(3);
 
 core::OrderLeaseOptions
@@ -156,7 +158,7 @@
   rollout.row_version = aRow.version;
   const core::RolloutState state = core::RolloutStateOf(*aRow.value);
   rollout.loading_elsewhere = { state.loading.begin(), state.loading.end() };
-  rollout.heard = core::RuntimeClock::now();
+  rollout.received_at = core::RuntimeClock::now();
   for (const core::TargetId& done : state.done) {
     OnLoaded(aModel, done, state.version);
   }
@@ -181,7 +183,7 @@
   std::set<core::TargetId> loading;
   for (const auto& [model, rollout] : m_rollouts) {
     loading.insert(rollout.loading.begin(), rollout.loading.end());
-    if (now - rollout.heard < kBelieveTime && !HoldsLease()) {
+    if (now - rollout.received_at < kBelieveTime && !HoldsLease()) {
       loading.insert(rollout.loading_elsewhere.begin(),
                      rollout.loading_elsewhere.end());
     }
@@ -311,7 +313,7 @@
       PublishLoading();
       const core::ModelId written = model;
       co_await WriteState(written);
-      // What was wanted may have changed meanwhile.
+      // m_wanted may have changed meanwhile.
       break;
     }
   }
@@ -395,7 +397,7 @@
   }
   into.insert(aTarget);
   PublishLoading();
-  // There is room for another one, or no more.
+  // The number of targets that may load at once has changed.
   Wake();
   return true;
 }
@@ -469,7 +471,7 @@
     SetUnanswered(aModel, aTarget.id, false);
     co_await net::Sleep(kFirstLook);
   } else {
-    // Another order is under way there, or was taken: look again soon.
+    // Another order is running there or was accepted: poll again soon.
     aLoading.last_order = core::Instant{};
   }
   co_return false;
--- a/src/jujubehead/node/control/weights_giver.hpp
+++ b/src/jujubehead/node/control/weights_giver.hpp
@@ -21,9 +21,9 @@
 
 namespace jujubehead::node {
 
-/// @brief Brings new weights to the targets, while this instance holds the
-/// lease for giving orders, and tells the traffic thread which targets are
-/// loading, by whichever instance.
+/// @brief Rolls out new weights to the targets while this instance holds the
+/// lease for orders, and publishes to the traffic thread which targets are
+/// loading, whichever instance ordered it.
 class WeightsGiver
 {
 public:
@@ -35,7 +35,7 @@
                Forwarder& aForwarder);
 
   void Start();
-  /// @brief This instance is about to end.
+  /// @brief This instance is shutting down.
   void BeginStop() { m_lease.Retire(); }
   void SetWanted(std::map<core::ModelId, core::WantedWeights> aWanted);
   void SetTargets(std::vector<core::RegisteredTarget> aTargets);
@@ -43,16 +43,16 @@
   [[nodiscard]] bool HoldsLease() const;
 
 private:
-  /// What is known of one model's roll-out.
+  /// State of one model's roll-out.
   struct Rollout
   {
-    std::map<core::TargetId, std::uint64_t> loaded; ///< Versions, as confirmed.
-    std::set<core::TargetId> loading;               ///< By this instance.
-    /// By this instance too, whose orders stay unanswered; they serve on.
+    std::map<core::TargetId, std::uint64_t> loaded; ///< Confirmed versions.
+    std::set<core::TargetId> loading; ///< Ordered by this instance.
+    /// Ordered by this instance too, without an answer; they keep serving.
     std::set<core::TargetId> unanswered;
     std::map<core::TargetId, core::Instant> not_before;
     std::set<core::TargetId> loading_elsewhere;
-    core::Instant heard{}; ///< From another instance.
+    core::Instant received_at{}; ///< Of loading_elsewhere.
     std::uint64_t row_version = 0;
   };
 
@@ -62,7 +62,7 @@
   boost::asio::awaitable<void> WriteState(core::ModelId aModel);
   boost::asio::awaitable<void> LoadOne(core::ModelId aModel,
                                        core::RegisteredTarget aTarget);
-  /// What is remembered between two looks at a target that is to load.
+  /// State kept between two polls of a target that is to load.
   struct Loading
   {
     core::Instant begun{};
@@ -73,13 +73,13 @@
   boost::asio::awaitable<bool> Bring(const core::ModelId& aModel,
                                      const core::RegisteredTarget& aTarget,
                                      Loading& aLoading);
-  /// @return nothing when it stays unanswered; it may be carried out yet.
+  /// @return nothing without an answer; the order may still be executed.
   boost::asio::awaitable<std::optional<OrderAnswer>> GiveOrder(
     const core::ModelId& aModel,
     const core::RegisteredTarget& aTarget,
     const WeightsReport& aReport,
     Loading& aLoading);
-  /// @return whether anything changed.
+  /// @return whether the state changed.
   bool SetUnanswered(const core::ModelId& aModel,
                      const core::TargetId& aTarget,
                      bool aIsUnanswered);
