--- a/include/jujubehead/node/control/known_rows.hpp
+++ b/include/jujubehead/node/control/known_rows.hpp
@@ -35,14 +35,14 @@
   [[nodiscard]] virtual std::optional<RowNews> NewsAfter(
     const std::string& aCursors,
     core::Instant aNow) const = 0;
-  /// @param aTold latest time at which the rows were current at the store.
-  /// @param aAsked when the request was sent.
+  /// @param aAsOf latest time at which the rows were current at the store.
+  /// @param aRequestedAt when the request was sent.
   /// @return whether followers of the rows have unread changes; until they read
-  /// them, their data is older than aTold.
+  /// them, their data is older than aAsOf.
   /// @throws std::exception on malformed bytes.
   virtual bool TakeNews(const std::string& aBytes,
-                        core::Instant aTold,
-                        core::Instant aAsked) = 0;
+                        core::Instant aAsOf,
+                        core::Instant aRequestedAt) = 0;
   /// @return the store's clock, estimated from its answers and from updates of
   /// other instances.
   [[nodiscard]] virtual const core::RemoteClock& StoreClock() const = 0;
--- a/include/jujubehead/node/control/platform.hpp
+++ b/include/jujubehead/node/control/platform.hpp
@@ -30,7 +30,7 @@
 
 /// @return whether the fault suggests an outage, not only a failed call.
 [[nodiscard]] constexpr bool
-IsAbsence(PlatformFault aFault)
+IsOutage(PlatformFault aFault)
 {
   return aFault == PlatformFault::kUnreachable ||
          aFault == PlatformFault::kBusy;
@@ -90,19 +90,19 @@
 };
 
 /// @brief A data source whose changes can be followed.
-template<typename News>
+template<typename Update>
 class Feed
 {
 public:
   virtual ~Feed() = default;
   /// @brief Reads a consistent snapshot. @throws PlatformError.
-  virtual boost::asio::awaitable<News> ReadAll() = 0;
+  virtual boost::asio::awaitable<Update> ReadAll() = 0;
   /// @return whether reading costs nothing, so that no pause is needed.
   [[nodiscard]] virtual bool IsFree() const { return false; }
   /// @brief Reads what changed after a cursor; waits until something did.
   /// @throws PlatformError.
-  virtual boost::asio::awaitable<News> ReadChanges(std::uint64_t aAfter,
-                                                   core::Duration aWait) = 0;
+  virtual boost::asio::awaitable<Update> ReadChanges(std::uint64_t aAfter,
+                                                     core::Duration aWait) = 0;
 };
 
 using OperatorFeed = Feed<OperatorNews>;
@@ -134,8 +134,8 @@
 /// @brief What happens to running requests when weights are replaced.
 enum class RunsMode : std::uint8_t
 {
-  kFinish, ///< The order waits until they finish.
-  kGoOn,   ///< They continue on the new weights.
+  kFinish,   ///< The order waits until they finish.
+  kContinue, ///< They continue on the new weights.
 };
 
 /// @brief An order to load weights. The target refuses it if it accepted
--- a/include/jujubehead/node/control/store_relay.hpp
+++ b/include/jujubehead/node/control/store_relay.hpp
@@ -33,13 +33,13 @@
   boost::asio::awaitable<void> Handle(net::HttpExchange& aExchange);
 
 private:
-  boost::asio::awaitable<net::HttpResponse> PassOn(
+  boost::asio::awaitable<net::HttpResponse> ForwardToStore(
     const net::HttpRequest& aRequest);
 
   std::unique_ptr<net::HttpClient> m_client;
   const core::StorePaths& m_paths;
   const KnownRows& m_known;
-  bool m_refuses = false; ///< The last request was refused; for the log.
+  bool m_was_refused = false; ///< The last request was refused; for the log.
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/control/entry_control.cpp
+++ b/src/jujubehead/node/control/entry_control.cpp
@@ -15,7 +15,7 @@
 namespace asio = boost::asio;
 
 /// Interval of the check for lapsed registrations, whose limits are seconds.
-constexpr core::Duration kTickTime = std::chrono::milliseconds(400);
+constexpr core::Duration kTickInterval = std::chrono::milliseconds(400);
 /// Batches the reports of many targets into one page; a third of the time in
 /// which a leaving target may still receive requests.
 constexpr core::Duration kRegistryPause = std::chrono::milliseconds(650);
@@ -29,29 +29,29 @@
 /// id follows.
 constexpr std::string_view kInstancePrefix = "instances/";
 /// Check interval for those rows: a new instance is found within seconds.
-constexpr core::Duration kInstanceRowsTime = std::chrono::seconds(2);
+constexpr core::Duration kInstanceRowsInterval = std::chrono::seconds(2);
 /// Instances that start together spread the writes of their rows over this
 /// time, as one partition of the store takes some 200 writes a second.
-constexpr std::chrono::milliseconds kFirstRowLeast{ 100 };
-constexpr std::chrono::milliseconds kFirstRowMost{ 1100 };
+constexpr std::chrono::milliseconds kMinFirstRowDelay{ 100 };
+constexpr std::chrono::milliseconds kMaxFirstRowDelay{ 1100 };
 /// Time after a start until all instances that started with it have written
 /// their rows.
 constexpr core::Duration kRowsSettle = std::chrono::milliseconds(1600);
 
 /// @return the delay of the first check of the instances' rows.
 core::Duration
-FirstRowPause()
+FirstRowDelay()
 {
   std::minstd_rand random{ std::random_device{}() };
   std::uniform_int_distribution<std::chrono::milliseconds::rep> spread(
-    kFirstRowLeast.count(), kFirstRowMost.count());
+    kMinFirstRowDelay.count(), kMaxFirstRowDelay.count());
   return std::chrono::milliseconds(spread(random));
 }
 
 void
-LogUnread(std::string_view aFeed, const std::vector<std::string>& aUnread)
+LogSkippedRows(std::string_view aFeed, const std::vector<std::string>& aSkipped)
 {
-  for (const std::string& what : aUnread) {
+  for (const std::string& what : aSkipped) {
     DecisionLog::WriteAlways(
       LogLine("row_left_out").Add("feed", aFeed).Add("why", what));
   }
@@ -79,45 +79,50 @@
                 *m_platform.shared,
                 m_platform.known->StoreClock(),
                 m_instances,
-                HooksOfDeadlines())
-  , m_weights(aContext,
+                MakeDeadlineHooks())
+  , m_rollout(aContext,
               aOptions,
               *m_platform.shared,
               *m_platform.orders,
               m_platform.known->StoreClock(),
               aForwarder)
-  , m_keeper(aContext, *m_platform.stores, HooksOfKeeper())
-  , m_stores(aContext, *m_platform.stores, m_role, HooksOfStores())
-  , m_hubs(aContext, m_role, m_stores, *m_platform.known, aPaths, HooksOfHubs())
+  , m_reclaimer(aContext, *m_platform.stores, MakeReclaimerHooks())
+  , m_stores(aContext, *m_platform.stores, m_role, MakeStoreHooks())
+  , m_hubs(aContext,
+           m_role,
+           m_stores,
+           *m_platform.known,
+           aPaths,
+           MakeHubHooks())
 {
 }
 
 StoreWatchHooks
-EntryControl::HooksOfStores()
+EntryControl::MakeStoreHooks()
 {
   StoreWatchHooks hooks;
   hooks.on_page = [this](const core::StoreId& aStore,
                          core::PartEventPage aPage,
-                         core::Instant aHeard) {
-    m_keeper.OnPage(aStore, aPage, aHeard);
-    m_forwarder.OnPartEvents(aStore, std::move(aPage), aHeard);
+                         core::Instant aAsOf) {
+    m_reclaimer.OnPage(aStore, aPage, aAsOf);
+    m_forwarder.OnPartEvents(aStore, std::move(aPage), aAsOf);
   };
   hooks.on_silence = [this](const core::StoreId& aStore) {
-    m_keeper.OnSilence(aStore);
+    m_reclaimer.OnSilence(aStore);
     m_forwarder.OnStoreSilent(aStore);
   };
   return hooks;
 }
 
-StoreKeeperHooks
-EntryControl::HooksOfKeeper()
+BlockReclaimerHooks
+EntryControl::MakeReclaimerHooks()
 {
-  StoreKeeperHooks hooks;
+  BlockReclaimerHooks hooks;
   hooks.rank = [this](const core::StoreId& aStore) {
     return core::RankOf(
       m_instances.All(), m_options.instance_id.View(), aStore.View());
   };
-  hooks.on_unread = [this](core::SupersededScopes aScopes) {
+  hooks.on_unused = [this](core::SupersededScopes aScopes) {
     m_stores.Forget(aScopes);
     m_forwarder.ForgetParts(std::move(aScopes));
   };
@@ -125,36 +130,36 @@
 }
 
 WeightsDeadlinesHooks
-EntryControl::HooksOfDeadlines()
+EntryControl::MakeDeadlineHooks()
 {
   WeightsDeadlinesHooks hooks;
-  hooks.on_wanted = [this](const WantedByModel& aWanted) {
+  hooks.on_newer_version = [this](const WantedByModel& aWanted) {
     m_forwarder.SetWantedWeights(aWanted);
-    m_weights.SetWanted(aWanted);
-    m_keeper.SetWanted(aWanted);
+    m_rollout.SetWanted(aWanted);
+    m_reclaimer.SetWanted(aWanted);
   };
   // Only the forwarder uses deadlines.
-  hooks.on_moved = [this](const WantedByModel& aWanted) {
+  hooks.on_deadlines_changed = [this](const WantedByModel& aWanted) {
     m_forwarder.SetWantedWeights(aWanted);
   };
   return hooks;
 }
 
 HubHooks
-EntryControl::HooksOfHubs()
+EntryControl::MakeHubHooks()
 {
   HubHooks hooks;
-  hooks.on_heard = [this](core::Instant aTold) {
-    m_forwarder.OnOperatorHeard(aTold);
+  hooks.on_heard = [this](core::Instant aAsOf) {
+    m_forwarder.OnOperatorHeard(aAsOf);
   };
   hooks.exchange_loads =
-    [this](std::vector<core::HeardLoad> aTold,
-           std::function<void(std::vector<core::HeardLoad>)> aGive) {
+    [this](std::vector<core::HeardLoad> aReported,
+           std::function<void(std::vector<core::HeardLoad>)> aReply) {
       m_forwarder.ExchangeLoads(
-        std::move(aTold),
-        [this, give = std::move(aGive)](std::vector<core::HeardLoad> aGiven) {
-          asio::post(m_context, [give, given = std::move(aGiven)]() mutable {
-            give(std::move(given));
+        std::move(aReported),
+        [this, reply = std::move(aReply)](std::vector<core::HeardLoad> aOwn) {
+          asio::post(m_context, [reply, own = std::move(aOwn)]() mutable {
+            reply(std::move(own));
           });
         });
     };
@@ -166,11 +171,11 @@
 {
   m_role.OnStart(core::RuntimeClock::now());
   FollowHooks<OperatorNews> operators;
-  operators.on_news = [this](const OperatorNews& aNews, bool aIsAll) {
-    OnOperatorNews(aNews, aIsAll);
+  operators.on_update = [this](const OperatorNews& aUpdate, bool aIsAll) {
+    OnOperatorUpdate(aUpdate, aIsAll);
   };
   operators.on_silence = [this](PlatformFault aFault) {
-    if (IsAbsence(aFault)) {
+    if (IsOutage(aFault)) {
       m_deadlines.OnOperatorFailure();
     }
   };
@@ -182,11 +187,11 @@
                  Follow(*m_platform.operators, operator_options, operators),
                  asio::detached);
   FollowHooks<RegistryNews> registry;
-  registry.on_news = [this](const RegistryNews& aNews, bool aIsAll) {
-    OnRegistryNews(aNews, aIsAll);
+  registry.on_update = [this](const RegistryNews& aUpdate, bool aIsAll) {
+    OnRegistryUpdate(aUpdate, aIsAll);
   };
   registry.on_silence = [this](PlatformFault aFault) {
-    if (IsAbsence(aFault)) {
+    if (IsOutage(aFault)) {
       m_book.OnSilence();
     }
   };
@@ -199,8 +204,8 @@
                  Follow(*m_platform.registry, registry_options, registry),
                  asio::detached);
   FollowHooks<SharedNews> shared;
-  shared.on_news = [this](const SharedNews& aNews, bool aIsAll) {
-    OnSharedNews(aNews, aIsAll);
+  shared.on_update = [this](const SharedNews& aUpdate, bool aIsAll) {
+    OnSharedUpdate(aUpdate, aIsAll);
   };
   FollowOptions shared_options;
   shared_options.name = "shared";
@@ -214,12 +219,12 @@
   asio::co_spawn(m_context, TickRegistry(), asio::detached);
   if (!m_options.relay_address.empty()) {
     SetInstances();
-    asio::co_spawn(m_context, KeepInstanceRows(), asio::detached);
+    asio::co_spawn(m_context, MaintainInstanceRows(), asio::detached);
     m_hubs.Start();
   }
   m_deadlines.Start();
-  m_weights.Start();
-  m_keeper.Start();
+  m_rollout.Start();
+  m_reclaimer.Start();
 }
 
 bool
@@ -242,17 +247,17 @@
 }
 
 void
-EntryControl::OnOperatorNews(const OperatorNews& aNews, bool aIsAll)
+EntryControl::OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll)
 {
-  m_operator_cursor = aNews.cursor;
-  LogUnread("operator", aNews.unread);
-  if (!aNews.is_recalled) {
-    m_forwarder.OnOperatorHeard(aNews.told);
+  m_operator_cursor = aUpdate.cursor;
+  LogSkippedRows("operator", aUpdate.unread);
+  if (!aUpdate.is_recalled) {
+    m_forwarder.OnOperatorHeard(aUpdate.told);
   }
-  if (aNews.declarations &&
-      aNews.declarations->version > ConfigurationVersion()) {
+  if (aUpdate.declarations &&
+      aUpdate.declarations->version > ConfigurationVersion()) {
     m_configuration =
-      std::make_shared<const core::Configuration>(*aNews.declarations);
+      std::make_shared<const core::Configuration>(*aUpdate.declarations);
     DecisionLog::WriteAlways(
       LogLine("configuration_in_force")
         .Add("version", m_configuration->Version())
@@ -260,32 +265,32 @@
         .Add("accounts",
              std::uint64_t(m_configuration->All().accounts.size())));
     m_forwarder.SetConfiguration(m_configuration);
-    m_keeper.SetStores(m_configuration->All().stores);
+    m_reclaimer.SetStores(m_configuration->All().stores);
     m_stores.SetStores(m_configuration->All().stores);
   }
-  m_deadlines.OnOperatorNews(aNews, aIsAll);
+  m_deadlines.OnOperatorUpdate(aUpdate, aIsAll);
 }
 
 void
-EntryControl::OnRegistryNews(const RegistryNews& aNews, bool aIsAll)
+EntryControl::OnRegistryUpdate(const RegistryNews& aUpdate, bool aIsAll)
 {
-  m_registry_cursor = aNews.cursor;
-  LogUnread("registry", aNews.unread);
+  m_registry_cursor = aUpdate.cursor;
+  LogSkippedRows("registry", aUpdate.unread);
   const core::Instant now = core::RuntimeClock::now();
-  if (!aNews.is_recalled) {
+  if (!aUpdate.is_recalled) {
     m_book.OnAnswer(now);
   }
   bool changed = !m_registry_read;
   if (aIsAll) {
     std::vector<core::RegisteredTarget> all;
-    for (const core::RegistrationChange& change : aNews.changes) {
+    for (const core::RegistrationChange& change : aUpdate.changes) {
       if (change.target) {
         all.push_back(*change.target);
       }
     }
     changed |= m_book.Replace(all, now);
   } else {
-    changed |= m_book.Apply(aNews.changes, now);
+    changed |= m_book.Apply(aUpdate.changes, now);
   }
   m_registry_read = true;
   if (changed) {
@@ -294,17 +299,17 @@
 }
 
 void
-EntryControl::OnSharedNews(const SharedNews& aNews, bool aIsAll)
+EntryControl::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
 {
-  m_deadlines.OnSharedNews(aNews, aIsAll);
-  m_weights.OnSharedNews(aNews, aIsAll);
-  bool is_told_of_instances = aIsAll;
+  m_deadlines.OnSharedUpdate(aUpdate, aIsAll);
+  m_rollout.OnSharedUpdate(aUpdate, aIsAll);
+  bool has_instance_rows = aIsAll;
   if (aIsAll) {
     m_instances.BeginAll();
   }
-  for (const SharedRow& row : aNews.rows) {
+  for (const SharedRow& row : aUpdate.rows) {
     if (row.key.starts_with(kInstancePrefix)) {
-      is_told_of_instances = true;
+      has_instance_rows = true;
       m_instances.OnRow(row.key.substr(kInstancePrefix.size()),
                         row.value,
                         row.version,
@@ -315,7 +320,7 @@
     m_instances.EndAll();
   }
   // Rows of a roll-out change far more often than those of instances.
-  if (is_told_of_instances) {
+  if (has_instance_rows) {
     SetInstances();
   }
 }
@@ -340,12 +345,12 @@
 }
 
 asio::awaitable<void>
-EntryControl::KeepInstanceRows()
+EntryControl::MaintainInstanceRows()
 {
-  core::Duration pause = FirstRowPause();
+  core::Duration pause = FirstRowDelay();
   for (;;) {
     co_await net::Sleep(pause);
-    pause = kInstanceRowsTime;
+    pause = kInstanceRowsInterval;
     const auto write = m_instances.NextWrite(core::RuntimeClock::now());
     if (!write) {
       continue;
@@ -367,7 +372,7 @@
 EntryControl::PublishTargets()
 {
   auto targets = m_book.Targets();
-  m_targets_in_all = targets.size();
+  m_target_count = targets.size();
   std::size_t leaving = 0;
   for (const core::RegisteredTarget& target : targets) {
     leaving += target.leaving ? 1 : 0;
@@ -376,7 +381,7 @@
                              .Add("targets", std::uint64_t(targets.size()))
                              .Add("leaving", std::uint64_t(leaving))
                              .Add("lapsed", std::uint64_t(m_book.Lapsed())));
-  m_weights.SetTargets(targets);
+  m_rollout.SetTargets(targets);
   m_forwarder.SetTargets(std::move(targets));
 }
 
@@ -384,7 +389,7 @@
 EntryControl::TickRegistry()
 {
   for (;;) {
-    co_await net::Sleep(kTickTime);
+    co_await net::Sleep(kTickInterval);
     if (m_book.Tick(core::RuntimeClock::now())) {
       PublishTargets();
     }
--- a/src/jujubehead/node/control/entry_control.hpp
+++ b/src/jujubehead/node/control/entry_control.hpp
@@ -17,10 +17,10 @@
 
 #include "../forward/forwarder.hpp" // for Forwarder
 #include "hub_exchange.hpp"         // for HubExchange
-#include "store_keeper.hpp"         // for StoreKeeper
+#include "store_keeper.hpp"         // for BlockReclaimer
 #include "store_watch.hpp"          // for StoreWatch
 #include "weights_deadlines.hpp"    // for WeightsDeadlines
-#include "weights_giver.hpp"        // for WeightsGiver
+#include "weights_giver.hpp"        // for RolloutController
 
 namespace jujubehead::node {
 
@@ -39,7 +39,7 @@
   /// @brief Starts following; from then on call it on the context only.
   void Start();
   /// @brief This instance is shutting down.
-  void BeginStop() { m_weights.BeginStop(); }
+  void BeginStop() { m_rollout.BeginStop(); }
   /// @return whether there is enough state to serve callers.
   [[nodiscard]] bool IsReady() const;
   /// @return the version of the active declarations; 0 before the first.
@@ -48,7 +48,7 @@
   [[nodiscard]] KnownRows& Known() const { return *m_platform.known; }
   /// @return the exchange that answers polls of other instances.
   [[nodiscard]] HubExchange& Hubs() { return m_hubs; }
-  [[nodiscard]] std::size_t Targets() const { return m_targets_in_all; }
+  [[nodiscard]] std::size_t Targets() const { return m_target_count; }
   /// @return metrics of the wanted weights.
   [[nodiscard]] std::vector<Gauge> WeightsGauges() const
   {
@@ -61,19 +61,19 @@
   }
 
 private:
-  void OnOperatorNews(const OperatorNews& aNews, bool aIsAll);
-  void OnRegistryNews(const RegistryNews& aNews, bool aIsAll);
-  void OnSharedNews(const SharedNews& aNews, bool aIsAll);
+  void OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll);
+  void OnRegistryUpdate(const RegistryNews& aUpdate, bool aIsAll);
+  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
   void SetInstances();
   /// @return whether this instance follows the operators' store itself or
   /// receives its rows from a hub.
   [[nodiscard]] bool IsSettled() const;
-  boost::asio::awaitable<void> KeepInstanceRows();
+  boost::asio::awaitable<void> MaintainInstanceRows();
   void PublishTargets();
-  StoreWatchHooks HooksOfStores();
-  StoreKeeperHooks HooksOfKeeper();
-  HubHooks HooksOfHubs();
-  WeightsDeadlinesHooks HooksOfDeadlines();
+  StoreWatchHooks MakeStoreHooks();
+  BlockReclaimerHooks MakeReclaimerHooks();
+  HubHooks MakeHubHooks();
+  WeightsDeadlinesHooks MakeDeadlineHooks();
   boost::asio::awaitable<void> TickRegistry();
 
   boost::asio::io_context& m_context;
@@ -88,10 +88,10 @@
   bool m_registry_read = false;
   std::uint64_t m_operator_cursor = 0;
   std::uint64_t m_registry_cursor = 0;
-  std::size_t m_targets_in_all = 0;
+  std::size_t m_target_count = 0;
   WeightsDeadlines m_deadlines;
-  WeightsGiver m_weights;
-  StoreKeeper m_keeper;
+  RolloutController m_rollout;
+  BlockReclaimer m_reclaimer;
   StoreWatch m_stores;
   HubExchange m_hubs;
 };
--- a/src/jujubehead/node/control/follow.hpp
+++ b/src/jujubehead/node/control/follow.hpp
@@ -36,11 +36,11 @@
 };
 
 /// @brief Callbacks of Follow().
-template<typename News>
+template<typename Update>
 struct FollowHooks
 {
   /// @param aIsAll whether it is a full snapshot, not only the changes.
-  std::function<void(const News& aNews, bool aIsAll)> on_news;
+  std::function<void(const Update& aUpdate, bool aIsAll)> on_update;
   /// A read failed.
   std::function<void(PlatformFault aWhy)> on_silence = [](PlatformFault) {};
 };
@@ -48,7 +48,7 @@
 /// @return a random delay before a retry, so that instances do not retry a
 /// failed service all at once.
 inline core::Duration
-SpreadPause()
+JitteredRetryDelay()
 {
   constexpr int kFromMs = 80;
   constexpr int kToMs = 250;
@@ -60,7 +60,7 @@
 /// @return the interval at which an instance checks whether it has become a hub
 /// or ceased to be one.
 inline core::Duration
-RolePause(const core::HubRole& aRole)
+RoleCheckInterval(const core::HubRole& aRole)
 {
   constexpr core::Duration kSettling = std::chrono::milliseconds(200);
   constexpr core::Duration kUsual = std::chrono::seconds(2);
@@ -69,21 +69,21 @@
 
 /// @brief Waits until the instances that start together have settled.
 inline boost::asio::awaitable<void>
-Settle(FollowOptions aOptions)
+WaitUntilSettled(FollowOptions aOptions)
 {
-  constexpr core::Duration kLook = std::chrono::milliseconds(50);
+  constexpr core::Duration kSettleCheckInterval = std::chrono::milliseconds(50);
   const core::Instant until = core::RuntimeClock::now() + aOptions.settle;
   while (core::RuntimeClock::now() < until && !aOptions.is_settled()) {
-    co_await net::Sleep(kLook);
+    co_await net::Sleep(kSettleCheckInterval);
   }
 }
 
 /// @brief Follows a feed for ever, across outages and lost history. Updates
 /// older than one already seen are skipped: a service may answer with stale
 /// data.
-template<typename News>
+template<typename Update>
 boost::asio::awaitable<void>
-Follow(Feed<News>& aFeed, FollowOptions aOptions, FollowHooks<News> aHooks)
+Follow(Feed<Update>& aFeed, FollowOptions aOptions, FollowHooks<Update> aHooks)
 {
   std::optional<std::uint64_t> cursor;
   std::uint64_t newest = 0;
@@ -94,27 +94,27 @@
     std::string why;
     try {
       const bool reads_all = !cursor;
-      News news;
+      Update update;
       if (reads_all) {
-        news = co_await aFeed.ReadAll();
+        update = co_await aFeed.ReadAll();
       } else {
         // Changes made during the start-up pause are read without a wait:
         // others may be waiting for this instance to confirm them.
         const core::Duration wait =
           is_start ? core::Duration(0) : aOptions.wait;
         is_start = false;
-        news = co_await aFeed.ReadChanges(*cursor, wait);
+        update = co_await aFeed.ReadChanges(*cursor, wait);
       }
       if (is_lost) {
         is_lost = false;
         DecisionLog::WriteAlways(LogLine("feed_regained")
                                    .Add("feed", aOptions.name)
-                                   .Add("cursor", news.cursor));
+                                   .Add("cursor", update.cursor));
       }
-      if (news.cursor >= newest) {
-        newest = news.cursor;
-        cursor = news.cursor;
-        aHooks.on_news(news, reads_all);
+      if (update.cursor >= newest) {
+        newest = update.cursor;
+        cursor = update.cursor;
+        aHooks.on_update(update, reads_all);
       } else if (reads_all) {
         fault = PlatformFault::kUnusable;
         why = "response older than one already read";
@@ -128,7 +128,7 @@
     }
     if (!fault) {
       if (is_start) {
-        co_await Settle(aOptions);
+        co_await WaitUntilSettled(aOptions);
       } else if (aOptions.pause > core::Duration(0) && !aFeed.IsFree()) {
         co_await net::Sleep(aOptions.pause);
       }
@@ -145,7 +145,7 @@
                                  .Add("why", why));
     }
     aHooks.on_silence(*fault);
-    const core::Duration pause = SpreadPause();
+    const core::Duration pause = JitteredRetryDelay();
     co_await net::Sleep(pause);
   }
 }
--- a/src/jujubehead/node/control/hub_exchange.cpp
+++ b/src/jujubehead/node/control/hub_exchange.cpp
@@ -15,7 +15,7 @@
 #include "jujubehead/node/control/platform.hpp"      // for PlatformError
 
 #include "../forward/decision_log.hpp" // for DecisionLog
-#include "follow.hpp"                  // for RolePause
+#include "follow.hpp"                  // for RoleCheckInterval
 
 namespace jujubehead::node {
 namespace {
@@ -27,21 +27,21 @@
 constexpr std::size_t kStartBytes = 6;
 /// Version of the loads encoding; an older instance uses another one, and
 /// neither accepts the other's.
-constexpr const char* kLoadsForm = "2";
+constexpr const char* kLoadsEncoding = "2";
 /// Poll interval. Together with a hub's own poll of a store it stays below the
 /// time after which a store's state counts as stale.
-constexpr core::Duration kHubPause = std::chrono::milliseconds(220);
+constexpr core::Duration kHubPollInterval = std::chrono::milliseconds(220);
 /// A hub answers from memory; one that takes longer is hung or unreachable.
 constexpr core::Duration kHubTimeout = std::chrono::milliseconds(300);
 /// Older rows are not sent; the polling instance then reads the store itself.
 /// Covers a hub's own wait for changes, network transit and a late wake-up.
-constexpr core::Duration kOldestRows = std::chrono::milliseconds(1400);
+constexpr core::Duration kMaxRowAge = std::chrono::milliseconds(1400);
 /// How long rows from a hub count as fresh; then the store is read directly.
 /// Covers two polls, one of which fails.
-constexpr core::Duration kFedTime = std::chrono::milliseconds(900);
+constexpr core::Duration kHubRowsLifetime = std::chrono::milliseconds(900);
 
 std::uint64_t
-NumberOf(const std::optional<std::string>& aText)
+ParseNumber(const std::optional<std::string>& aText)
 {
   std::uint64_t number = 0;
   if (aText) {
@@ -82,11 +82,11 @@
   for (;;) {
     if (m_role.IsHub()) {
       if (m_role.HasFollowers()) {
-        co_await ShareOwnLoads();
-        PassOnLoads();
+        co_await SyncOwnLoads();
+        ForwardLoads();
       }
       const core::Duration pause =
-        m_role.HasFollowers() ? kHubPause : RolePause(m_role);
+        m_role.HasFollowers() ? kHubPollInterval : RoleCheckInterval(m_role);
       co_await net::Sleep(pause);
       continue;
     }
@@ -96,9 +96,9 @@
     std::optional<core::HubFailure> failure;
     std::string why;
     try {
-      const bool has_more = co_await AskHub(hub, m_cursors[hub.id]);
+      const bool has_more = co_await PollHub(hub, m_cursors[hub.id]);
       choice.OnAnswer();
-      pause = has_more ? core::Duration(0) : kHubPause;
+      pause = has_more ? core::Duration(0) : kHubPollInterval;
     } catch (const net::HttpCallError& error) {
       why = error.what();
       failure =
@@ -119,27 +119,27 @@
 }
 
 asio::awaitable<std::vector<core::HeardLoad>>
-HubExchange::ExchangeLoads(std::vector<core::HeardLoad> aTold)
+HubExchange::ExchangeLoads(std::vector<core::HeardLoad> aReported)
 {
   std::vector<core::HeardLoad> own;
-  net::Timer given(m_context, core::Instant::max());
-  m_hooks.exchange_loads(std::move(aTold),
-                         [&](std::vector<core::HeardLoad> aGiven) {
-                           own = std::move(aGiven);
-                           given.cancel();
+  net::Timer replied(m_context, core::Instant::max());
+  m_hooks.exchange_loads(std::move(aReported),
+                         [&](std::vector<core::HeardLoad> aOwn) {
+                           own = std::move(aOwn);
+                           replied.cancel();
                          });
   constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
-  co_await given.async_wait(kTuple);
+  co_await replied.async_wait(kTuple);
   co_return own;
 }
 
 asio::awaitable<void>
-HubExchange::ShareOwnLoads()
+HubExchange::SyncOwnLoads()
 {
-  const auto told = m_loads.Busiest(core::RuntimeClock::now());
-  const std::vector<core::HeardLoad> own = co_await ExchangeLoads(told);
-  for (const core::HeardLoad& one : own) {
-    OnReported(one);
+  const auto busiest = m_loads.Busiest(core::RuntimeClock::now());
+  const std::vector<core::HeardLoad> own = co_await ExchangeLoads(busiest);
+  for (const core::HeardLoad& load : own) {
+    OnReported(load);
   }
 }
 
@@ -147,20 +147,20 @@
 HubExchange::OnReported(const core::HeardLoad& aLoad)
 {
   m_loads.Put(aLoad);
-  m_unshared.Put(aLoad);
+  m_unsent_loads.Put(aLoad);
 }
 
 void
-HubExchange::PassOnLoads()
+HubExchange::ForwardLoads()
 {
   const core::Instant now = core::RuntimeClock::now();
-  const std::vector<core::HeardLoad> loads = m_unshared.TakeBusiest(now);
+  const std::vector<core::HeardLoad> loads = m_unsent_loads.TakeBusiest(now);
   if (loads.empty()) {
     return;
   }
   const std::string bytes = LoadsToBytes(loads, now);
   for (const core::KnownInstance& hub : m_role.Hubs()) {
-    if (!m_role.IsSelf(hub) && m_sending.insert(hub.id).second) {
+    if (!m_role.IsSelf(hub) && m_pending_hubs.insert(hub.id).second) {
       asio::co_spawn(m_context, SendLoads(hub, bytes), asio::detached);
     }
   }
@@ -182,22 +182,22 @@
     // The next report replaces this one. A hub that fails is also noticed and
     // logged by the instances that poll it.
   }
-  m_sending.erase(aHub.id);
+  m_pending_hubs.erase(aHub.id);
 }
 
 asio::awaitable<bool>
-HubExchange::AskHub(core::KnownInstance aHub, Cursor& aCursor)
+HubExchange::PollHub(core::KnownInstance aHub, Cursor& aCursor)
 {
   std::vector<core::HeardLoad> own = co_await ExchangeLoads({});
-  own.insert(own.end(), m_untold_loads.begin(), m_untold_loads.end());
-  m_untold_loads.clear();
+  own.insert(own.end(), m_pending_loads.begin(), m_pending_loads.end());
+  m_pending_loads.clear();
   net::HttpCall call;
   call.authority = aHub.address;
   call.method = "POST";
-  if (aCursor.takes_loads) {
+  if (aCursor.supports_loads) {
     call.body = LoadsToBytes(own, core::RuntimeClock::now());
   }
-  call.target = std::string(kHubNewsPath) + "?form=" + kLoadsForm +
+  call.target = std::string(kHubNewsPath) + "?form=" + kLoadsEncoding +
                 "&start=" + aCursor.start +
                 "&after=" + std::to_string(aCursor.parts.next) +
                 "&since=" + std::to_string(aCursor.parts.since) +
@@ -205,56 +205,56 @@
   call.connect_timeout = kHubTimeout;
   call.idle_timeout = kHubTimeout;
   // The hub's data is at most as old as the request.
-  const core::Instant asked = core::RuntimeClock::now();
+  const core::Instant sent_at = core::RuntimeClock::now();
   const net::HttpResponse response = co_await m_client->Fetch(std::move(call));
   if (response.status != kOk) {
     throw PlatformError(PlatformFault::kBusy,
                         "status " + std::to_string(response.status));
   }
-  HubNews news = HubNewsOf(response.body, asked);
-  aCursor.start = news.start;
-  aCursor.parts = news.parts.cursor;
-  aCursor.takes_loads = news.has_loads;
-  m_untold_loads = co_await ExchangeLoads(std::move(news.loads));
-  m_stores.TakeNews(news.parts, news.clock_ms, asked);
-  if (news.rows) {
-    const core::Instant told = asked - news.rows->age;
-    const bool has_unread = m_rows.TakeNews(news.rows->bytes, told, asked);
+  HubUpdate update = HubUpdateFromBytes(response.body, sent_at);
+  aCursor.start = update.start;
+  aCursor.parts = update.parts.cursor;
+  aCursor.supports_loads = update.has_loads;
+  m_pending_loads = co_await ExchangeLoads(std::move(update.loads));
+  m_stores.TakeNews(update.parts, update.clock_ms, sent_at);
+  if (update.rows) {
+    const core::Instant as_of = sent_at - update.rows->age;
+    const bool has_unread = m_rows.TakeNews(update.rows->bytes, as_of, sent_at);
     if (!has_unread) {
-      m_hooks.on_heard(told);
+      m_hooks.on_heard(as_of);
     }
-    m_paths.OnFed(core::RuntimeClock::now() + kFedTime);
+    m_paths.OnFed(core::RuntimeClock::now() + kHubRowsLifetime);
   }
-  co_return news.parts.has_more;
+  co_return update.parts.has_more;
 }
 
-HubNews
-HubExchange::NewsFor(const net::HttpRequest& aRequest)
+HubUpdate
+HubExchange::UpdateFor(const net::HttpRequest& aRequest)
 {
   const core::Instant now = core::RuntimeClock::now();
-  const bool has_loads = aRequest.Query("form") == kLoadsForm;
+  const bool has_loads = aRequest.Query("form") == kLoadsEncoding;
   if (has_loads) {
-    for (const core::HeardLoad& one : LoadsOf(aRequest.body, now)) {
-      OnReported(one);
+    for (const core::HeardLoad& load : LoadsFromBytes(aRequest.body, now)) {
+      OnReported(load);
     }
   }
   const bool knows_start = aRequest.Query("start") == m_start;
   core::PartCursor cursor;
   if (knows_start) {
-    cursor.next = NumberOf(aRequest.Query("after"));
-    cursor.since = NumberOf(aRequest.Query("since"));
+    cursor.next = ParseNumber(aRequest.Query("after"));
+    cursor.since = ParseNumber(aRequest.Query("since"));
   }
-  HubNews news;
-  news.start = m_start;
-  news.has_loads = has_loads;
-  news.loads = m_loads.Busiest(now);
-  news.parts = m_stores.Log().ReadAfter(cursor, now);
-  news.clock_ms = m_stores.ClockMs(now);
-  news.rows = m_rows.NewsAfter(aRequest.Query("rows").value_or(""), now);
-  if (news.rows && news.rows->age > kOldestRows) {
-    news.rows.reset();
+  HubUpdate update;
+  update.start = m_start;
+  update.has_loads = has_loads;
+  update.loads = m_loads.Busiest(now);
+  update.parts = m_stores.Log().ReadAfter(cursor, now);
+  update.clock_ms = m_stores.ClockMs(now);
+  update.rows = m_rows.NewsAfter(aRequest.Query("rows").value_or(""), now);
+  if (update.rows && update.rows->age > kMaxRowAge) {
+    update.rows.reset();
   }
-  return news;
+  return update;
 }
 
 asio::awaitable<void>
@@ -267,7 +267,7 @@
   } else {
     response.headers.Add("Content-Type", "application/cbor");
     response.body =
-      ToBytes(NewsFor(aExchange.Request()), core::RuntimeClock::now());
+      ToBytes(UpdateFor(aExchange.Request()), core::RuntimeClock::now());
   }
   co_await aExchange.Send(std::move(response));
 }
@@ -280,8 +280,9 @@
   if (!m_role.IsHub()) {
     response.status = kUnavailable;
   } else {
-    for (const core::HeardLoad& one : LoadsOf(aExchange.Request().body, now)) {
-      m_loads.Put(one);
+    for (const core::HeardLoad& load :
+         LoadsFromBytes(aExchange.Request().body, now)) {
+      m_loads.Put(load);
     }
   }
   co_await aExchange.Send(std::move(response));
--- a/src/jujubehead/node/control/hub_exchange.hpp
+++ b/src/jujubehead/node/control/hub_exchange.hpp
@@ -21,7 +21,7 @@
 #include "jujubehead/net/http_server.hpp"             // for HttpExchange
 #include "jujubehead/node/control/known_rows.hpp"     // for KnownRows
 
-#include "hub_news_codec.hpp" // for HubNews
+#include "hub_news_codec.hpp" // for HubUpdate
 #include "store_watch.hpp"    // for StoreWatch
 
 namespace jujubehead::node {
@@ -35,11 +35,11 @@
 struct HubHooks
 {
   /// All rows of the operators' store as of that time, or later, were read.
-  std::function<void(core::Instant aTold)> on_heard;
+  std::function<void(core::Instant aAsOf)> on_heard;
   /// Takes target loads received from others and returns this instance's own
   /// through the callback: on the same thread, possibly later.
-  std::function<void(std::vector<core::HeardLoad> aTold,
-                     std::function<void(std::vector<core::HeardLoad>)> aGive)>
+  std::function<void(std::vector<core::HeardLoad> aReported,
+                     std::function<void(std::vector<core::HeardLoad>)> aReply)>
     exchange_loads;
 };
 
@@ -77,24 +77,24 @@
   {
     std::string start;
     core::PartCursor parts;
-    bool takes_loads = false; ///< Whether the hub supports kLoadsForm.
+    bool supports_loads = false; ///< Whether the hub supports kLoadsEncoding.
   };
 
   boost::asio::awaitable<void> FollowHubs();
   /// @return whether the hub has more data to send at once.
-  boost::asio::awaitable<bool> AskHub(core::KnownInstance aHub,
-                                      Cursor& aCursor);
-  boost::asio::awaitable<void> ShareOwnLoads();
+  boost::asio::awaitable<bool> PollHub(core::KnownInstance aHub,
+                                       Cursor& aCursor);
+  boost::asio::awaitable<void> SyncOwnLoads();
   /// @brief Starts sending the loads reported here since the last call to the
   /// other hubs, except those with a request still outstanding.
-  void PassOnLoads();
+  void ForwardLoads();
   boost::asio::awaitable<void> SendLoads(core::KnownInstance aHub,
                                          std::string aLoads);
   /// @brief A load was reported by this instance or by one that polls it.
   void OnReported(const core::HeardLoad& aLoad);
   boost::asio::awaitable<std::vector<core::HeardLoad>> ExchangeLoads(
-    std::vector<core::HeardLoad> aTold);
-  [[nodiscard]] HubNews NewsFor(const net::HttpRequest& aRequest);
+    std::vector<core::HeardLoad> aReported);
+  [[nodiscard]] HubUpdate UpdateFor(const net::HttpRequest& aRequest);
 
   boost::asio::io_context& m_context;
   const core::HubRole& m_role;
@@ -102,15 +102,15 @@
   KnownRows& m_rows;
   core::StorePaths& m_paths;
   HubHooks m_hooks;
-  std::vector<core::HeardLoad> m_untold_loads; ///< Own, for the next poll.
+  std::vector<core::HeardLoad> m_pending_loads; ///< Own, for the next poll.
   /// By hub id, so that polling a hub again resumes where it stopped.
   std::map<std::string, Cursor> m_cursors;
   std::minstd_rand m_random{ std::random_device{}() };
   std::uniform_real_distribution<> m_jitter{ 0, 1 };
-  core::LoadNews m_loads;          ///< Reported to this instance as a hub.
-  core::LoadNews m_unshared;       ///< Of these, not yet sent to other hubs.
-  std::set<std::string> m_sending; ///< Ids of hubs with a pending request.
-  std::string m_start;             ///< Identifies this run of the process.
+  core::LoadNews m_loads;        ///< Reported to this instance as a hub.
+  core::LoadNews m_unsent_loads; ///< Of these, not yet sent to other hubs.
+  std::set<std::string> m_pending_hubs; ///< Ids of hubs with a pending request.
+  std::string m_start;                  ///< Identifies this run of the process.
   std::unique_ptr<net::HttpClient> m_client;
 };
 
--- a/src/jujubehead/node/control/hub_news_codec.cpp
+++ b/src/jujubehead/node/control/hub_news_codec.cpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 /// Array indices; arrays replace objects to keep the message small.
-enum StorePlace : std::size_t
+enum StoreIndex : std::size_t
 {
   kId,
   kEpoch,
@@ -32,12 +32,12 @@
 };
 
 constexpr unsigned kByteBits = 8;
-constexpr std::int64_t kMostInByte = 255;
+constexpr std::int64_t kMaxByte = 255;
 /// Value of the running byte that marks a removed target.
 constexpr std::uint32_t kGoneMark = 255;
 constexpr core::Duration kAgeUnit = std::chrono::milliseconds(10);
 
-enum ChangePlace : std::size_t
+enum ChangeIndex : std::size_t
 {
   kStore, ///< Its index among the stores.
   kScope, ///< Its index among the scopes.
@@ -54,7 +54,7 @@
 char
 ToByte(std::int64_t aNumber)
 {
-  return static_cast<char>(std::clamp<std::int64_t>(aNumber, 0, kMostInByte));
+  return static_cast<char>(std::clamp<std::int64_t>(aNumber, 0, kMaxByte));
 }
 
 std::uint32_t
@@ -72,20 +72,20 @@
 }
 
 core::HeardLoad
-LoadAt(std::string_view aBytes, core::Instant aTold)
+LoadAt(std::string_view aBytes, core::Instant aSentAt)
 {
   std::uint32_t key = 0;
   for (std::size_t i = 0; i < sizeof(key); ++i) {
     key |= FromByte(aBytes[i]) << (i * kByteBits);
   }
-  core::HeardLoad heard;
-  heard.target = static_cast<core::TargetKey>(key);
-  heard.load.running = FromByte(aBytes[kRunning]);
-  heard.load.waiting = FromByte(aBytes[kWaiting]);
-  heard.load.slots = FromByte(aBytes[kSlots]);
-  heard.heard = aTold - FromByte(aBytes[kLoadAge]) * kAgeUnit;
-  heard.is_gone = heard.load.running == kGoneMark;
-  return heard;
+  core::HeardLoad result;
+  result.target = static_cast<core::TargetKey>(key);
+  result.load.running = FromByte(aBytes[kRunning]);
+  result.load.waiting = FromByte(aBytes[kWaiting]);
+  result.load.slots = FromByte(aBytes[kSlots]);
+  result.heard = aSentAt - FromByte(aBytes[kLoadAge]) * kAgeUnit;
+  result.is_gone = result.load.running == kGoneMark;
+  return result;
 }
 
 } // namespace
@@ -98,7 +98,7 @@
   for (const core::HeardLoad& one : aLoads) {
     const auto key = static_cast<std::uint32_t>(one.target);
     for (std::size_t i = 0; i < sizeof(key); ++i) {
-      bytes += ToByte((key >> (i * kByteBits)) & kMostInByte);
+      bytes += ToByte((key >> (i * kByteBits)) & kMaxByte);
     }
     bytes += ToByte(RunningByte(one));
     bytes += ToByte(one.load.waiting);
@@ -109,7 +109,7 @@
 }
 
 std::vector<core::HeardLoad>
-LoadsOf(std::string_view aBytes, core::Instant aTold)
+LoadsFromBytes(std::string_view aBytes, core::Instant aSentAt)
 {
   if (aBytes.size() % kLoadBytes != 0) {
     throw std::invalid_argument(
@@ -118,17 +118,17 @@
   std::vector<core::HeardLoad> loads;
   loads.reserve(aBytes.size() / kLoadBytes);
   for (std::size_t at = 0; at < aBytes.size(); at += kLoadBytes) {
-    loads.push_back(LoadAt(aBytes.substr(at, kLoadBytes), aTold));
+    loads.push_back(LoadAt(aBytes.substr(at, kLoadBytes), aSentAt));
   }
   return loads;
 }
 
 std::string
-ToBytes(const HubNews& aNews, core::Instant aNow)
+ToBytes(const HubUpdate& aUpdate, core::Instant aNow)
 {
   json stores = json::array();
   std::map<core::StoreId, std::size_t> places;
-  for (const core::HeardStore& store : aNews.parts.stores) {
+  for (const core::HeardStore& store : aUpdate.parts.stores) {
     places.emplace(store.store, stores.size());
     // Rounded up, so that data never appears newer than it is.
     stores.push_back(json::array(
@@ -137,7 +137,7 @@
   json scopes = json::array();
   std::map<std::string_view, std::size_t> scope_places;
   json changes = json::array();
-  for (const core::PartChange& change : aNews.parts.changes) {
+  for (const core::PartChange& change : aUpdate.parts.changes) {
     const auto [scope, is_new] =
       scope_places.try_emplace(change.scope, scopes.size());
     if (is_new) {
@@ -146,36 +146,36 @@
     changes.push_back(json::array(
       { places.at(change.store), scope->second, change.part, change.tokens }));
   }
-  json message = { { "start", aNews.start },
-                   { "next", aNews.parts.cursor.next },
-                   { "since", aNews.parts.cursor.since },
-                   { "more", aNews.parts.has_more },
-                   { "all", aNews.parts.is_all },
+  json message = { { "start", aUpdate.start },
+                   { "next", aUpdate.parts.cursor.next },
+                   { "since", aUpdate.parts.cursor.since },
+                   { "more", aUpdate.parts.has_more },
+                   { "all", aUpdate.parts.is_all },
                    { "stores", std::move(stores) },
                    { "scopes", std::move(scopes) },
                    { "changes", std::move(changes) } };
-  if (aNews.has_loads) {
-    message["loads"] = LoadsToBytes(aNews.loads, aNow);
+  if (aUpdate.has_loads) {
+    message["loads"] = LoadsToBytes(aUpdate.loads, aNow);
   } else {
     message["loads"] = json::array();
   }
-  if (aNews.rows) {
-    message["rows"] = aNews.rows->bytes;
-    message["rows_age"] = Milliseconds(aNews.rows->age) + 1;
+  if (aUpdate.rows) {
+    message["rows"] = aUpdate.rows->bytes;
+    message["rows_age"] = Milliseconds(aUpdate.rows->age) + 1;
   }
-  if (aNews.clock_ms) {
-    message["clock"] = *aNews.clock_ms;
+  if (aUpdate.clock_ms) {
+    message["clock"] = *aUpdate.clock_ms;
   }
   std::string bytes;
   json::to_cbor(message, bytes);
   return bytes;
 }
 
-HubNews
-HubNewsOf(std::string_view aBytes, core::Instant aTold)
+HubUpdate
+HubUpdateFromBytes(std::string_view aBytes, core::Instant aSentAt)
 {
   const json message = json::from_cbor(aBytes.begin(), aBytes.end());
-  HubNews result;
+  HubUpdate result;
   result.start = message.at("start").get<std::string>();
   result.parts.cursor.next = message.at("next").get<std::uint64_t>();
   result.parts.cursor.since = message.at("since").get<std::uint64_t>();
@@ -193,7 +193,7 @@
   const json& loads = message.at("loads");
   result.has_loads = loads.is_string();
   if (result.has_loads) {
-    result.loads = LoadsOf(loads.get<std::string>(), aTold);
+    result.loads = LoadsFromBytes(loads.get<std::string>(), aSentAt);
   }
   for (const json& store : message.at("stores")) {
     result.parts.stores.push_back(
--- a/src/jujubehead/node/control/hub_news_codec.hpp
+++ b/src/jujubehead/node/control/hub_news_codec.hpp
@@ -14,7 +14,7 @@
 namespace jujubehead::node {
 
 /// @brief A hub's reply to a poll.
-struct HubNews
+struct HubUpdate
 {
   /// Identifies the hub's run; cursors from another run are not valid in it.
   std::string start;
@@ -34,15 +34,15 @@
 std::string
 LoadsToBytes(const std::vector<core::HeardLoad>& aLoads, core::Instant aNow);
 std::vector<core::HeardLoad>
-LoadsOf(std::string_view aBytes, core::Instant aTold);
+LoadsFromBytes(std::string_view aBytes, core::Instant aSentAt);
 
 /// @brief Encodes the message as CBOR, and decodes it.
-/// @param aTold latest time of sending, by the reader's clock.
+/// @param aSentAt latest time of sending, by the reader's clock.
 /// @throws std::exception on malformed bytes.
 std::string
-ToBytes(const HubNews& aNews, core::Instant aNow);
-HubNews
-HubNewsOf(std::string_view aBytes, core::Instant aTold);
+ToBytes(const HubUpdate& aUpdate, core::Instant aNow);
+HubUpdate
+HubUpdateFromBytes(std::string_view aBytes, core::Instant aSentAt);
 
 } // namespace jujubehead::node
 
--- a/src/jujubehead/node/control/hub_news_codec_test.cpp
+++ b/src/jujubehead/node/control/hub_news_codec_test.cpp
@@ -3,7 +3,7 @@
 #include <CppUTest/TestHarness.h> // for TEST
 
 using namespace jujubehead;
-using node::HubNews;
+using node::HubUpdate;
 
 namespace {
 
@@ -13,7 +13,7 @@
 
 TEST_GROUP(HubNewsCodec)
 {
-  HubNews message;
+  HubUpdate message;
 
   void setup() override
   {
@@ -39,7 +39,8 @@
 
 TEST(HubNewsCodec, RoundTrip)
 {
-  const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
+  const HubUpdate back =
+    node::HubUpdateFromBytes(node::ToBytes(message, kNow), kNow);
   STRCMP_EQUAL("i1/abc", back.start.c_str());
   LONGS_EQUAL(42, back.parts.cursor.next);
   LONGS_EQUAL(40, back.parts.cursor.since);
@@ -64,11 +65,11 @@
 {
   const std::string bytes = node::ToBytes(message, kNow);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
-    CHECK_THROWS(
-      std::exception,
-      node::HubNewsOf(std::string_view(bytes).substr(0, length), kNow));
+    CHECK_THROWS(std::exception,
+                 node::HubUpdateFromBytes(
+                   std::string_view(bytes).substr(0, length), kNow));
   }
-  CHECK_THROWS(std::exception, node::HubNewsOf("{\"start\":1}", kNow));
+  CHECK_THROWS(std::exception, node::HubUpdateFromBytes("{\"start\":1}", kNow));
   // A change that refers to a store not in the list.
   message.parts.changes.at(0).store = core::StoreId("s3");
   CHECK_THROWS(std::exception, node::ToBytes(message, kNow));
@@ -82,7 +83,7 @@
   const core::HeardLoad gone = core::GoneTarget(core::TargetId("t3"), kNow);
   const std::string bytes = node::LoadsToBytes({ full, gone }, kNow);
   LONGS_EQUAL(16, bytes.size());
-  const auto back = node::LoadsOf(bytes, kNow);
+  const auto back = node::LoadsFromBytes(bytes, kNow);
   CHECK(back.at(0).target == full.target);
   LONGS_EQUAL(254, back.at(0).load.running);
   LONGS_EQUAL(255, back.at(0).load.waiting);
@@ -95,7 +96,8 @@
 TEST(HubNewsCodec, IgnoresLoadsInAnotherEncoding)
 {
   message.has_loads = false;
-  const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
+  const HubUpdate back =
+    node::HubUpdateFromBytes(node::ToBytes(message, kNow), kNow);
   CHECK_FALSE(back.has_loads);
   CHECK(back.loads.empty());
   LONGS_EQUAL(42, back.parts.cursor.next);
@@ -104,8 +106,8 @@
 TEST(HubNewsCodec, LoadsRoundTripAndMalformedLoadsAreRejected)
 {
   const auto back =
-    node::LoadsOf(node::LoadsToBytes(message.loads, kNow), kNow);
+    node::LoadsFromBytes(node::LoadsToBytes(message.loads, kNow), kNow);
   CHECK(back.at(0).target == core::KeyOf(core::TargetId("t1")));
   LONGS_EQUAL(12, back.at(0).load.slots);
-  CHECK_THROWS(std::exception, node::LoadsOf("x", kNow));
+  CHECK_THROWS(std::exception, node::LoadsFromBytes("x", kNow));
 }
--- a/src/jujubehead/node/control/store_keeper.cpp
+++ b/src/jujubehead/node/control/store_keeper.cpp
@@ -16,23 +16,23 @@
 
 namespace asio = boost::asio;
 
-constexpr core::Duration kLookTime = std::chrono::seconds(1);
+constexpr core::Duration kCheckInterval = std::chrono::seconds(1);
 /// Covers message transit and clock drift.
 constexpr core::Duration kMargin = std::chrono::milliseconds(1000);
 /// Delay per rank: a call to the store, and the time until all instances have
 /// received its events.
-constexpr core::Duration kTurn = std::chrono::milliseconds(1500);
+constexpr core::Duration kRankDelay = std::chrono::milliseconds(1500);
 /// Blocks per call; their names take some 40 bytes each.
-constexpr std::size_t kMostAtOnce = 400;
+constexpr std::size_t kMaxBatch = 400;
 
 /// Blocks superseded for this long have no readers.
 constexpr core::Duration kUnreadAfter = kHearTime + kReadTime + kMargin;
 
 } // namespace
 
-StoreKeeper::StoreKeeper(asio::io_context& aContext,
-                         StoreCalls& aCalls,
-                         StoreKeeperHooks aHooks)
+BlockReclaimer::BlockReclaimer(asio::io_context& aContext,
+                               StoreCalls& aCalls,
+                               BlockReclaimerHooks aHooks)
   : m_context(aContext)
   , m_calls(aCalls)
   , m_hooks(std::move(aHooks))
@@ -40,13 +40,13 @@
 }
 
 void
-StoreKeeper::Start()
+BlockReclaimer::Start()
 {
   asio::co_spawn(m_context, Run(), asio::detached);
 }
 
 void
-StoreKeeper::SetStores(const std::vector<core::DeclaredStore>& aStores)
+BlockReclaimer::SetStores(const std::vector<core::DeclaredStore>& aStores)
 {
   m_stores = aStores;
   std::vector<core::StoreId> ids;
@@ -58,7 +58,7 @@
 }
 
 void
-StoreKeeper::SetWanted(
+BlockReclaimer::SetWanted(
   const std::map<core::ModelId, core::WantedWeights>& aWanted)
 {
   const core::Instant now = core::RuntimeClock::now();
@@ -68,55 +68,55 @@
 }
 
 void
-StoreKeeper::OnPage(const core::StoreId& aStore,
-                    const core::PartEventPage& aPage,
-                    core::Instant aHeard)
+BlockReclaimer::OnPage(const core::StoreId& aStore,
+                       const core::PartEventPage& aPage,
+                       core::Instant aAsOf)
 {
-  m_parts.OnPage(aStore, aPage, aHeard);
+  m_parts.OnPage(aStore, aPage, aAsOf);
 }
 
 void
-StoreKeeper::OnSilence(const core::StoreId& aStore)
+BlockReclaimer::OnSilence(const core::StoreId& aStore)
 {
   m_parts.OnSilence(aStore);
 }
 
 asio::awaitable<void>
-StoreKeeper::Run()
+BlockReclaimer::Run()
 {
   for (;;) {
-    co_await net::Sleep(kLookTime);
+    co_await net::Sleep(kCheckInterval);
     const core::Instant now = core::RuntimeClock::now();
     const std::size_t due = m_versions.Due(kUnreadAfter, now);
-    if (due != m_due) {
-      m_due = due;
-      m_has_turns = true;
-      m_hooks.on_unread(core::SupersededScopes(m_versions, now - kUnreadAfter));
+    if (due != m_due_count) {
+      m_due_count = due;
+      m_has_pending = true;
+      m_hooks.on_unused(core::SupersededScopes(m_versions, now - kUnreadAfter));
     }
-    if (!m_has_turns) {
+    if (!m_has_pending) {
       continue;
     }
-    m_has_turns = false;
+    m_has_pending = false;
     const std::vector<core::DeclaredStore> stores = m_stores;
     for (const core::DeclaredStore& store : stores) {
-      const bool has_left = co_await FreeAt(store);
-      m_has_turns |= has_left;
+      const bool has_remaining = co_await FreeAt(store);
+      m_has_pending |= has_remaining;
     }
   }
 }
 
 std::vector<core::ScopedPart>
-StoreKeeper::SupersededAt(const core::StoreId& aStore,
-                          core::Duration aFor) const
+BlockReclaimer::SupersededAt(const core::StoreId& aStore,
+                             core::Duration aFor) const
 {
   core::SupersededScopes scopes(m_versions, core::RuntimeClock::now() - aFor);
-  return m_parts.PartsWhere(aStore, kMostAtOnce, [&](std::string_view aScope) {
+  return m_parts.PartsWhere(aStore, kMaxBatch, [&](std::string_view aScope) {
     return scopes.Contains(aScope);
   });
 }
 
 asio::awaitable<bool>
-StoreKeeper::FreeAt(core::DeclaredStore aStore)
+BlockReclaimer::FreeAt(core::DeclaredStore aStore)
 {
   if (SupersededAt(aStore.id, kUnreadAfter).empty()) {
     co_return false;
@@ -125,7 +125,7 @@
     co_return true;
   }
   const auto rank = static_cast<core::Duration::rep>(m_hooks.rank(aStore.id));
-  const core::Duration due = kUnreadAfter + rank * kTurn;
+  const core::Duration due = kUnreadAfter + rank * kRankDelay;
   for (;;) {
     std::vector<core::ScopedPart> parts = SupersededAt(aStore.id, due);
     if (parts.empty()) {
@@ -140,8 +140,8 @@
 }
 
 asio::awaitable<bool>
-StoreKeeper::Free(core::DeclaredStore aStore,
-                  std::vector<core::ScopedPart> aParts)
+BlockReclaimer::Free(core::DeclaredStore aStore,
+                     std::vector<core::ScopedPart> aParts)
 {
   FreeOrder order;
   order.epoch = m_parts.EpochOf(aStore.id);
--- a/src/jujubehead/node/control/store_keeper.hpp
+++ b/src/jujubehead/node/control/store_keeper.hpp
@@ -18,13 +18,13 @@
 
 namespace jujubehead::node {
 
-/// @brief Callbacks of a StoreKeeper.
-struct StoreKeeperHooks
+/// @brief Callbacks of a BlockReclaimer.
+struct BlockReclaimerHooks
 {
   /// @return this instance's rank among all instances for a store, from 0.
   std::function<std::size_t(const core::StoreId& aStore)> rank;
   /// The blocks of these scopes are no longer read.
-  std::function<void(core::SupersededScopes aScopes)> on_unread;
+  std::function<void(core::SupersededScopes aScopes)> on_unused;
 };
 
 /// @brief Frees the prefix blocks of superseded weights to make room for those
@@ -43,20 +43,20 @@
 /// Instances take turns by rank, in a different order for each store, and each
 /// frees all blocks that it knows, so the failure of earlier ones does no harm.
 /// Without turns all would free everything at once (thundering herd).
-class StoreKeeper
+class BlockReclaimer
 {
 public:
-  StoreKeeper(boost::asio::io_context& aContext,
-              StoreCalls& aCalls,
-              StoreKeeperHooks aHooks);
+  BlockReclaimer(boost::asio::io_context& aContext,
+                 StoreCalls& aCalls,
+                 BlockReclaimerHooks aHooks);
 
   void Start();
   void SetStores(const std::vector<core::DeclaredStore>& aStores);
   void SetWanted(const std::map<core::ModelId, core::WantedWeights>& aWanted);
-  /// @param aHeard latest time at which the page was current at the store.
+  /// @param aAsOf latest time at which the page was current at the store.
   void OnPage(const core::StoreId& aStore,
               const core::PartEventPage& aPage,
-              core::Instant aHeard);
+              core::Instant aAsOf);
   void OnSilence(const core::StoreId& aStore);
 
 private:
@@ -74,12 +74,12 @@
 
   boost::asio::io_context& m_context;
   StoreCalls& m_calls;
-  StoreKeeperHooks m_hooks;
+  BlockReclaimerHooks m_hooks;
   std::vector<core::DeclaredStore> m_stores;
   core::SupersededVersions m_versions;
   core::PartDirectory m_parts;
-  std::size_t m_due = 0;    ///< Versions whose blocks were dropped.
-  bool m_has_turns = false; ///< Blocks may remain to be freed.
+  std::size_t m_due_count = 0; ///< Versions whose blocks were dropped.
+  bool m_has_pending = false;  ///< Blocks may remain to be freed.
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/control/store_relay.cpp
+++ b/src/jujubehead/node/control/store_relay.cpp
@@ -15,23 +15,23 @@
 constexpr unsigned kUnavailable = 503;
 constexpr core::Duration kConnectTimeout = std::chrono::milliseconds(300);
 /// Subtracted from the time that the sender waits, for the reply's transit.
-constexpr core::Duration kWayBack = std::chrono::milliseconds(60);
+constexpr core::Duration kReplyTransit = std::chrono::milliseconds(60);
 /// Bounds of the time that a sender may ask for, and its default: the upper one
 /// is the longest wait for a change with its timeout, the default the usual
 /// timeout of a call.
-constexpr std::int64_t kLeastMs = 100;
-constexpr std::int64_t kMostMs = 6000;
-constexpr std::int64_t kUsualMs = 700;
+constexpr std::int64_t kMinMs = 100;
+constexpr std::int64_t kMaxMs = 6000;
+constexpr std::int64_t kDefaultMs = 700;
 
 core::Duration
-TimeFor(const net::HttpRequest& aRequest)
+TimeoutFor(const net::HttpRequest& aRequest)
 {
-  std::int64_t ms = kUsualMs;
-  if (const auto told = aRequest.headers.Find(kRelayTimeLine)) {
-    std::from_chars(told->data(), told->data() + told->size(), ms);
+  std::int64_t ms = kDefaultMs;
+  if (const auto header = aRequest.headers.Find(kRelayTimeLine)) {
+    std::from_chars(header->data(), header->data() + header->size(), ms);
   }
-  return std::chrono::milliseconds(std::clamp(ms, kLeastMs, kMostMs)) -
-         kWayBack;
+  return std::chrono::milliseconds(std::clamp(ms, kMinMs, kMaxMs)) -
+         kReplyTransit;
 }
 
 } // namespace
@@ -53,7 +53,7 @@
     "the operators' store is not directly reachable from this instance";
   if (m_paths.IsStraight()) {
     try {
-      answer = co_await PassOn(aExchange.Request());
+      answer = co_await ForwardToStore(aExchange.Request());
     } catch (const net::HttpCallError& error) {
       why = error.what();
     }
@@ -61,20 +61,20 @@
     answer = m_known.Answer(aExchange.Request());
   }
   if (!answer) {
-    if (!m_refuses) {
+    if (!m_was_refused) {
       DecisionLog::WriteAlways(LogLine("relay_refuses").Add("why", why));
     }
-    m_refuses = true;
+    m_was_refused = true;
     answer.emplace();
     answer->status = kUnavailable;
     answer->body = why + '\n';
   }
-  m_refuses = m_refuses && answer->status == kUnavailable;
+  m_was_refused = m_was_refused && answer->status == kUnavailable;
   co_await aExchange.Send(std::move(*answer));
 }
 
 asio::awaitable<net::HttpResponse>
-StoreRelay::PassOn(const net::HttpRequest& aRequest)
+StoreRelay::ForwardToStore(const net::HttpRequest& aRequest)
 {
   net::HttpCall call;
   call.authority = m_paths.Straight();
@@ -85,7 +85,7 @@
   }
   call.body = aRequest.body;
   call.connect_timeout = kConnectTimeout;
-  call.idle_timeout = TimeFor(aRequest);
+  call.idle_timeout = TimeoutFor(aRequest);
   const net::HttpResponse reply = co_await m_client->Fetch(std::move(call));
   net::HttpResponse answer;
   answer.status = reply.status;
--- a/src/jujubehead/node/control/store_watch.cpp
+++ b/src/jujubehead/node/control/store_watch.cpp
@@ -8,7 +8,7 @@
 #include "jujubehead/net/timer.hpp" // for Sleep
 
 #include "../forward/decision_log.hpp" // for DecisionLog
-#include "follow.hpp"                  // for SpreadPause, RolePause
+#include "follow.hpp" // for JitteredRetryDelay, RoleCheckInterval
 
 namespace jujubehead::node {
 namespace {
@@ -17,7 +17,7 @@
 
 /// Multiple of the usual retry delay for a store that is busy, since many other
 /// instances poll it.
-constexpr int kBusyPauses = 4;
+constexpr int kBusyRetryFactor = 4;
 
 } // namespace
 
@@ -48,26 +48,26 @@
 }
 
 std::string_view
-StoreWatch::NameOf(StoreWord aWord)
+StoreWatch::NameOf(PollOutcome aOutcome)
 {
-  switch (aWord) {
-    case StoreWord::kHeard:
+  switch (aOutcome) {
+    case PollOutcome::kAnswered:
       return "heard";
-    case StoreWord::kBusy:
+    case PollOutcome::kBusy:
       return "busy";
-    case StoreWord::kSilent:
+    case PollOutcome::kSilent:
       break;
   }
   return "silent";
 }
 
-asio::awaitable<StoreWatch::StoreWord>
-StoreWatch::AskStore(const core::DeclaredStore& aStore,
-                     core::Watchers aWatchers,
-                     StoreCursor& aCursor)
+asio::awaitable<StoreWatch::PollOutcome>
+StoreWatch::PollStore(const core::DeclaredStore& aStore,
+                      core::Watchers aWatchers,
+                      StoreCursor& aCursor)
 {
   std::string why;
-  StoreWord word = StoreWord::kSilent;
+  PollOutcome outcome = PollOutcome::kSilent;
   try {
     core::PartEventPage page = co_await m_calls.Read(
       aStore.address, aCursor.since, core::WatchWait(aWatchers));
@@ -81,22 +81,22 @@
     }
     m_log.OnPage(aStore.id, page, now);
     m_hooks.on_page(aStore.id, std::move(page), now);
-    word = StoreWord::kHeard;
+    outcome = PollOutcome::kAnswered;
   } catch (const PlatformError& error) {
     why = error.what();
-    word = error.Fault() == PlatformFault::kBusy ? StoreWord::kBusy
-                                                 : StoreWord::kSilent;
+    outcome = error.Fault() == PlatformFault::kBusy ? PollOutcome::kBusy
+                                                    : PollOutcome::kSilent;
   } catch (const std::exception& error) {
     why = error.what();
   }
-  if (word != aCursor.last_word) {
+  if (outcome != aCursor.last_outcome) {
     DecisionLog::WriteAlways(LogLine("store_heard")
                                .Add("store", aStore.id.View())
-                               .Add("word", NameOf(word))
+                               .Add("word", NameOf(outcome))
                                .Add("why", why));
   }
-  aCursor.last_word = word;
-  co_return word;
+  aCursor.last_outcome = outcome;
+  co_return outcome;
 }
 
 asio::awaitable<void>
@@ -109,46 +109,46 @@
       co_return;
     }
     if (!m_role.Watches(core::RuntimeClock::now())) {
-      const core::Duration pause = RolePause(m_role);
+      const core::Duration pause = RoleCheckInterval(m_role);
       co_await net::Sleep(pause);
       continue;
     }
     const core::Watchers watchers{ m_role.Hubs().size(), aStore.most_watchers };
     const core::Instant begun = core::RuntimeClock::now();
-    const StoreWord word = co_await AskStore(aStore, watchers, cursor);
+    const PollOutcome outcome = co_await PollStore(aStore, watchers, cursor);
     core::Duration pause =
       core::WatchPause(core::RuntimeClock::now() - begun, watchers);
-    if (word == StoreWord::kBusy) {
+    if (outcome == PollOutcome::kBusy) {
       // The store is up, so its last page stays valid for the usual time.
-      pause = kBusyPauses * SpreadPause();
-    } else if (word == StoreWord::kSilent) {
+      pause = kBusyRetryFactor * JitteredRetryDelay();
+    } else if (outcome == PollOutcome::kSilent) {
       m_log.OnSilence(aStore.id);
       m_hooks.on_silence(aStore.id);
-      pause = SpreadPause();
+      pause = JitteredRetryDelay();
     }
     co_await net::Sleep(pause);
   }
 }
 
 void
-StoreWatch::TakeNews(const core::PartNews& aNews,
+StoreWatch::TakeNews(const core::PartNews& aUpdate,
                      std::optional<std::int64_t> aClockMs,
-                     core::Instant aTold)
+                     core::Instant aSentAt)
 {
   std::map<core::StoreId, core::PartEventPage> pages;
-  for (const core::HeardStore& store : aNews.stores) {
+  for (const core::HeardStore& store : aUpdate.stores) {
     core::PartEventPage& page = pages[store.store];
     page.epoch = store.epoch;
-    page.is_all = aNews.is_all;
+    page.is_all = aUpdate.is_all;
     page.clock_ms = aClockMs;
   }
-  for (const core::PartChange& change : aNews.changes) {
+  for (const core::PartChange& change : aUpdate.changes) {
     pages[change.store].events.push_back(
       { change.scope, change.part, change.tokens, change.tokens > 0 });
   }
-  for (const core::HeardStore& store : aNews.stores) {
+  for (const core::HeardStore& store : aUpdate.stores) {
     m_hooks.on_page(
-      store.store, std::move(pages[store.store]), aTold - store.age);
+      store.store, std::move(pages[store.store]), aSentAt - store.age);
   }
 }
 
--- a/src/jujubehead/node/control/store_watch.hpp
+++ b/src/jujubehead/node/control/store_watch.hpp
@@ -25,10 +25,10 @@
 /// @brief Callbacks of a StoreWatch.
 struct StoreWatchHooks
 {
-  /// @param aHeard latest time at which the page was current at the store.
+  /// @param aAsOf latest time at which the page was current at the store.
   std::function<void(const core::StoreId& aStore,
                      core::PartEventPage aPage,
-                     core::Instant aHeard)>
+                     core::Instant aAsOf)>
     on_page;
   std::function<void(const core::StoreId& aStore)> on_silence;
 };
@@ -55,18 +55,18 @@
     return m_clock.At(aNow);
   }
   /// @brief Applies an update from a hub.
-  /// @param aTold latest time at which the hub sent it.
-  void TakeNews(const core::PartNews& aNews,
+  /// @param aSentAt latest time at which the hub sent it.
+  void TakeNews(const core::PartNews& aUpdate,
                 std::optional<std::int64_t> aClockMs,
-                core::Instant aTold);
+                core::Instant aSentAt);
   /// @brief Drops the blocks of scopes that are no longer read.
   void Forget(core::SupersededScopes aScopes);
 
 private:
   /// Result of polling a store for events.
-  enum class StoreWord : std::uint8_t
+  enum class PollOutcome : std::uint8_t
   {
-    kHeard,
+    kAnswered,
     kBusy, ///< It accepts no more polls now.
     kSilent,
   };
@@ -76,13 +76,14 @@
   {
     std::uint64_t since = 0;
     std::uint64_t epoch = 0;
-    StoreWord last_word = StoreWord::kHeard;
+    PollOutcome last_outcome = PollOutcome::kAnswered;
   };
 
-  static std::string_view NameOf(StoreWord aWord);
-  boost::asio::awaitable<StoreWord> AskStore(const core::DeclaredStore& aStore,
-                                             core::Watchers aWatchers,
-                                             StoreCursor& aCursor);
+  static std::string_view NameOf(PollOutcome aOutcome);
+  boost::asio::awaitable<PollOutcome> PollStore(
+    const core::DeclaredStore& aStore,
+    core::Watchers aWatchers,
+    StoreCursor& aCursor);
   boost::asio::awaitable<void> FollowStore(core::DeclaredStore aStore);
 
   boost::asio::io_context& m_context;
--- a/src/jujubehead/node/control/weights_deadlines.cpp
+++ b/src/jujubehead/node/control/weights_deadlines.cpp
@@ -11,7 +11,7 @@
 #include "jujubehead/core/membership/hubs.hpp" // for RankOf
 
 #include "../forward/decision_log.hpp" // for DecisionLog
-#include "follow.hpp"                  // for SpreadPause
+#include "follow.hpp"                  // for JitteredRetryDelay
 
 namespace jujubehead::node {
 namespace {
@@ -23,20 +23,20 @@
 /// weights; the rest covers the transit of the message that ends them.
 constexpr double kOldWeightsShare = 0.95;
 /// Default ratio of the total time to the time in one stretch.
-constexpr double kUsualTimeInAll = 1.4;
+constexpr double kDefaultTotalRatio = 1.4;
 /// Delay per rank. A written row reaches the others within 0.2 s, as they read
 /// batches every 0.15 s.
-constexpr core::Duration kTurn = std::chrono::milliseconds(250);
+constexpr core::Duration kRankDelay = std::chrono::milliseconds(250);
 /// Cap on the ranks waited for: more instances than this do not fail together
 /// unless all do.
-constexpr std::size_t kMostTurns = 8;
+constexpr std::size_t kMaxRanks = 8;
 /// Extra delay when the naming time is only assumed, so that instances that
 /// observed it write first.
-constexpr core::Duration kAssumedWait = std::chrono::seconds(2);
+constexpr core::Duration kAssumedDelay = std::chrono::seconds(2);
 constexpr core::Duration kRetryPause = std::chrono::milliseconds(500);
 
 core::Duration
-Times(core::Duration aTime, double aFactor)
+Scale(core::Duration aTime, double aFactor)
 {
   const double whole = static_cast<double>(aTime.count());
   return core::Duration(static_cast<core::Duration::rep>(whole * aFactor));
@@ -46,10 +46,10 @@
 HeardTimeOf(const EntryOptions& aOptions)
 {
   core::HeardTime time;
-  time.in_one = Times(aOptions.weights_time, kOldWeightsShare);
+  time.in_one = Scale(aOptions.weights_time, kOldWeightsShare);
   time.in_all = aOptions.weights_time_in_all > core::Duration(0)
-                  ? Times(aOptions.weights_time_in_all, kOldWeightsShare)
-                  : Times(time.in_one, kUsualTimeInAll);
+                  ? Scale(aOptions.weights_time_in_all, kOldWeightsShare)
+                  : Scale(time.in_one, kDefaultTotalRatio);
   return time;
 }
 
@@ -79,28 +79,28 @@
 }
 
 void
-WeightsDeadlines::OnOperatorNews(const OperatorNews& aNews, bool aIsAll)
+WeightsDeadlines::OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll)
 {
   bool is_new = false;
-  for (const core::LoadedModel& wanted : aNews.wanted) {
+  for (const core::LoadedModel& wanted : aUpdate.wanted) {
     const bool is_newer =
-      m_old.OnRead(wanted.model, wanted.version, aIsAll, aNews.told);
+      m_old.OnRead(wanted.model, wanted.version, aIsAll, aUpdate.told);
     if (!is_newer) {
       continue;
     }
     is_new = true;
-    TakeNamings(wanted.model);
+    ApplyNamings(wanted.model);
     m_wanted = m_old.Wanted(core::RuntimeClock::now());
     DecisionLog::WriteAlways(
       LogLine("weights_wanted")
         .Add("model", wanted.model.View())
         .Add("version", wanted.version)
         .Add("read", aIsAll ? "with all rows" : "as a change")
-        .Add("older_end_in", OlderLeft(wanted.model)));
+        .Add("older_end_in", OlderTimeLeft(wanted.model)));
   }
-  const bool is_back =
-    !aNews.is_recalled && m_old.OnAnswer(aNews.asked, aNews.told);
-  if (is_new || is_back) {
+  const bool is_restored =
+    !aUpdate.is_recalled && m_old.OnAnswer(aUpdate.asked, aUpdate.told);
+  if (is_new || is_restored) {
     Update(is_new);
   }
 }
@@ -113,20 +113,20 @@
 }
 
 void
-WeightsDeadlines::OnSharedNews(const SharedNews& aNews, bool aIsAll)
+WeightsDeadlines::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
 {
-  bool is_told = aIsAll;
-  for (const SharedRow& row : aNews.rows) {
+  bool has_records = aIsAll;
+  for (const SharedRow& row : aUpdate.rows) {
     if (row.key.starts_with(kRecordPrefix)) {
       ReadRecord(core::ModelId(row.key.substr(kRecordPrefix.size())), row);
-      is_told = true;
+      has_records = true;
     }
   }
   if (aIsAll) {
     m_is_shared_read = true;
     m_old.OnRecordRead();
   }
-  if (is_told) {
+  if (has_records) {
     Update(false);
   }
 }
@@ -140,11 +140,11 @@
   }
   recorded.version = aRow.value ? aRow.version : 0;
   recorded.namings = core::NamingRecordOf(aRow.value.value_or(""));
-  TakeNamings(aModel);
+  ApplyNamings(aModel);
 }
 
 void
-WeightsDeadlines::TakeNamings(const core::ModelId& aModel)
+WeightsDeadlines::ApplyNamings(const core::ModelId& aModel)
 {
   const core::Instant now = core::RuntimeClock::now();
   for (const auto& [version, named] : m_recorded[aModel].namings) {
@@ -163,21 +163,21 @@
 WeightsDeadlines::Update(bool aIsNew)
 {
   m_wanted = m_old.Wanted(core::RuntimeClock::now());
-  (aIsNew ? m_hooks.on_wanted : m_hooks.on_moved)(m_wanted);
+  (aIsNew ? m_hooks.on_newer_version : m_hooks.on_deadlines_changed)(m_wanted);
   for (const auto& [model, wanted] : m_wanted) {
-    FindDue(model);
+    UpdateDue(model);
   }
   m_wake.cancel();
 }
 
 void
-WeightsDeadlines::FindDue(const core::ModelId& aModel)
+WeightsDeadlines::UpdateDue(const core::ModelId& aModel)
 {
   Recorded& recorded = m_recorded[aModel];
   if (RecordOf(aModel) == recorded.namings) {
-    recorded.is_due_since.reset();
-  } else if (!recorded.is_due_since) {
-    recorded.is_due_since = core::RuntimeClock::now();
+    recorded.due_since.reset();
+  } else if (!recorded.due_since) {
+    recorded.due_since = core::RuntimeClock::now();
   }
 }
 
@@ -202,18 +202,18 @@
 }
 
 core::Duration
-WeightsDeadlines::Patience(const core::ModelId& aModel) const
+WeightsDeadlines::WriteDelay(const core::ModelId& aModel) const
 {
   const std::size_t rank =
     core::RankOf(m_instances.All(), m_self, aModel.View());
-  const core::Duration turn = kTurn * std::min(rank, kMostTurns);
+  const core::Duration turn = kRankDelay * std::min(rank, kMaxRanks);
   const core::NamingRecord& recorded = m_recorded.at(aModel).namings;
   for (const auto& [version, naming] : m_old.ToRecord(aModel)) {
     if (!naming.is_assumed && !recorded.contains(version)) {
       return turn;
     }
   }
-  return turn + kAssumedWait;
+  return turn + kAssumedDelay;
 }
 
 asio::awaitable<void>
@@ -225,10 +225,10 @@
     core::Instant next = core::Instant::max();
     std::optional<core::ModelId> due;
     for (const auto& [model, recorded] : m_recorded) {
-      if (!m_is_shared_read || !recorded.is_due_since) {
+      if (!m_is_shared_read || !recorded.due_since) {
         continue;
       }
-      const core::Instant turn = *recorded.is_due_since + Patience(model);
+      const core::Instant turn = *recorded.due_since + WriteDelay(model);
       next = std::min(next, turn);
       if (turn <= now) {
         due = model;
@@ -256,7 +256,7 @@
       Recorded& recorded = m_recorded[aModel];
       recorded.version = std::max(recorded.version, *version);
       recorded.namings = std::move(record);
-      FindDue(aModel);
+      UpdateDue(aModel);
       co_return;
     }
     why = "row changed since it was read";
@@ -267,12 +267,12 @@
   DecisionLog::WriteAlways(LogLine("weights_naming_unwritten")
                              .Add("model", aModel.View())
                              .Add("why", why));
-  const core::Duration pause = kRetryPause + SpreadPause();
+  const core::Duration pause = kRetryPause + JitteredRetryDelay();
   co_await net::Sleep(pause);
 }
 
 core::Duration
-WeightsDeadlines::OlderLeft(const core::ModelId& aModel) const
+WeightsDeadlines::OlderTimeLeft(const core::ModelId& aModel) const
 {
   const core::Instant now = core::RuntimeClock::now();
   const core::WantedWeights& wanted = m_wanted.at(aModel);
@@ -298,7 +298,7 @@
   add("jujubehead_older_weights_seconds",
       "For how long requests may begin on older weights.",
       [this](const core::ModelId& aModel, const core::WantedWeights&) {
-        return std::chrono::duration<double>(OlderLeft(aModel)).count();
+        return std::chrono::duration<double>(OlderTimeLeft(aModel)).count();
       });
   return gauges;
 }
--- a/src/jujubehead/node/control/weights_deadlines.hpp
+++ b/src/jujubehead/node/control/weights_deadlines.hpp
@@ -25,9 +25,9 @@
 struct WeightsDeadlinesHooks
 {
   /// A newer version is wanted.
-  std::function<void(const WantedByModel&)> on_wanted;
+  std::function<void(const WantedByModel&)> on_newer_version;
   /// Only deadlines of older versions moved.
-  std::function<void(const WantedByModel&)> on_moved;
+  std::function<void(const WantedByModel&)> on_deadlines_changed;
 };
 
 /// @brief Tracks the deadline until which requests may start on older weights.
@@ -48,10 +48,10 @@
                    WeightsDeadlinesHooks aHooks);
 
   void Start();
-  void OnOperatorNews(const OperatorNews& aNews, bool aIsAll);
+  void OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll);
   /// @brief A read of the operator's rows failed.
   void OnOperatorFailure();
-  void OnSharedNews(const SharedNews& aNews, bool aIsAll);
+  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
   /// @return metrics of the wanted weights.
   [[nodiscard]] std::vector<Gauge> Gauges() const;
 
@@ -62,19 +62,19 @@
     core::NamingRecord namings;
     std::uint64_t version = 0; ///< Of the row; 0 if there is none.
     /// Since when a write is due.
-    std::optional<core::Instant> is_due_since;
+    std::optional<core::Instant> due_since;
   };
 
   void ReadRecord(const core::ModelId& aModel, const SharedRow& aRow);
-  void TakeNamings(const core::ModelId& aModel);
+  void ApplyNamings(const core::ModelId& aModel);
   void Update(bool aIsNew);
-  void FindDue(const core::ModelId& aModel);
+  void UpdateDue(const core::ModelId& aModel);
   boost::asio::awaitable<void> Run();
   boost::asio::awaitable<void> Write(core::ModelId aModel);
   [[nodiscard]] core::NamingRecord RecordOf(const core::ModelId& aModel) const;
   /// @return how long this instance lets others write first.
-  [[nodiscard]] core::Duration Patience(const core::ModelId& aModel) const;
-  [[nodiscard]] core::Duration OlderLeft(const core::ModelId& aModel) const;
+  [[nodiscard]] core::Duration WriteDelay(const core::ModelId& aModel) const;
+  [[nodiscard]] core::Duration OlderTimeLeft(const core::ModelId& aModel) const;
 
   boost::asio::io_context& m_context;
   SharedRows& m_shared;
--- a/src/jujubehead/node/control/weights_deadlines_test.cpp
+++ b/src/jujubehead/node/control/weights_deadlines_test.cpp
@@ -94,30 +94,30 @@
     const core::Instant now = core::RuntimeClock::now();
     clock.OnReading(StoreMs(), now, now);
     node::WeightsDeadlinesHooks hooks;
-    hooks.on_wanted = [this](const node::WantedByModel& aWanted) {
+    hooks.on_newer_version = [this](const node::WantedByModel& aWanted) {
       wanted = aWanted;
     };
-    hooks.on_moved = hooks.on_wanted;
+    hooks.on_deadlines_changed = hooks.on_newer_version;
     deadlines = std::make_unique<node::WeightsDeadlines>(
       aContext, options, shared, clock, book, std::move(hooks));
     deadlines->Start();
   }
 
-  void TellOperator(std::uint64_t aVersion, bool aIsAll) const
+  void DeliverOperatorRows(std::uint64_t aVersion, bool aIsAll) const
   {
-    node::OperatorNews news;
-    news.asked = core::RuntimeClock::now();
-    news.told = news.asked;
-    news.wanted.push_back({ kModel, aVersion });
-    deadlines->OnOperatorNews(news, aIsAll);
+    node::OperatorNews update;
+    update.asked = core::RuntimeClock::now();
+    update.told = update.asked;
+    update.wanted.push_back({ kModel, aVersion });
+    deadlines->OnOperatorUpdate(update, aIsAll);
   }
-  void TellRows(const Rows& aRows) const
+  void DeliverSharedRows(const Rows& aRows) const
   {
-    node::SharedNews news;
+    node::SharedNews update;
     for (const auto& [key, row] : aRows.rows) {
-      news.rows.push_back(row);
+      update.rows.push_back(row);
     }
-    deadlines->OnSharedNews(news, true);
+    deadlines->OnSharedUpdate(update, true);
   }
   [[nodiscard]] core::Instant End() const
   {
@@ -151,9 +151,9 @@
     rows.on_written = [this](const node::SharedRow& aRow) {
       asio::post(context, [this, aRow] {
         for (const auto& instance : instances) {
-          node::SharedNews news;
-          news.rows.push_back(aRow);
-          instance->deadlines->OnSharedNews(news, false);
+          node::SharedNews update;
+          update.rows.push_back(aRow);
+          instance->deadlines->OnSharedUpdate(update, false);
         }
       });
     };
@@ -165,22 +165,22 @@
 
   /// Starts instances from aFrom on, lets them read all rows, and names version
   /// 2.
-  void Name2(std::size_t aFrom)
+  void NameVersion2(std::size_t aFrom)
   {
     for (std::size_t i = aFrom; i < kInstances; ++i) {
       instances.push_back(std::make_unique<Instance>(context, rows, i));
-      instances.back()->TellOperator(1, true);
-      instances.back()->TellRows(rows);
+      instances.back()->DeliverOperatorRows(1, true);
+      instances.back()->DeliverSharedRows(rows);
     }
     for (const auto& instance : instances) {
-      instance->TellOperator(2, false);
+      instance->DeliverOperatorRows(2, false);
     }
   }
 };
 
 TEST(WeightsDeadlines, OnlyOneInstanceRecordsNaming)
 {
-  Name2(0);
+  NameVersion2(0);
   context.run_for(milliseconds(700));
   LONGS_EQUAL(1, rows.writes);
   for (const auto& instance : instances) {
@@ -190,50 +190,50 @@
 
 TEST(WeightsDeadlines, NextInstanceRecordsWhenFirstOnesAreGone)
 {
-  Name2(3);
+  NameVersion2(3);
   context.run_for(milliseconds(1500));
   LONGS_EQUAL(1, rows.writes);
 }
 
 TEST(WeightsDeadlines, LastRemainingInstanceRecords)
 {
-  Name2(kInstances - 1);
+  NameVersion2(kInstances - 1);
   context.run_for(milliseconds(2300));
   LONGS_EQUAL(1, rows.writes);
 }
 
 TEST(WeightsDeadlines, LaterInstanceUsesRecordedNaming)
 {
-  Name2(0);
+  NameVersion2(0);
   context.run_for(milliseconds(300));
   const core::Instant end = instances.front()->End();
   instances.clear();
   Instance later(context, rows, 3);
-  later.TellOperator(2, true);
+  later.DeliverOperatorRows(2, true);
   // No requests before the record is read: the deadline may have passed.
   CHECK(later.End() < core::RuntimeClock::now());
-  later.TellRows(rows);
+  later.DeliverSharedRows(rows);
   CHECK(IsNear(later.End(), end));
 }
 
 TEST(WeightsDeadlines, WithoutRecordHalfOfTheTimeIsAssumedAndRecorded)
 {
   Instance first(context, rows, 0);
-  first.TellOperator(2, true);
-  first.TellRows(rows);
+  first.DeliverOperatorRows(2, true);
+  first.DeliverSharedRows(rows);
   const core::Instant half = core::RuntimeClock::now() + milliseconds(4750);
   CHECK(IsNear(first.End(), half));
   context.run_for(milliseconds(4500));
   LONGS_EQUAL(1, rows.writes);
   Instance second(context, rows, 1);
-  second.TellOperator(2, true);
-  second.TellRows(rows);
+  second.DeliverOperatorRows(2, true);
+  second.DeliverSharedRows(rows);
   CHECK(IsNear(second.End(), half));
 }
 
 TEST(WeightsDeadlines, RecordedNamingIsNotRewrittenHoursLater)
 {
-  Name2(0);
+  NameVersion2(0);
   context.run_for(milliseconds(300));
   LONGS_EQUAL(1, rows.writes);
   core::RuntimeClock::Pause();
@@ -251,9 +251,9 @@
 TEST(WeightsDeadlines, AnswerAfterIsolatedFailureRestoresDeadline)
 {
   Instance one(context, rows, 0);
-  one.TellOperator(1, true);
-  one.TellRows(rows);
-  one.TellOperator(2, false);
+  one.DeliverOperatorRows(1, true);
+  one.DeliverSharedRows(rows);
+  one.DeliverOperatorRows(2, false);
   const core::Instant end = one.End();
   core::RuntimeClock::Pause();
   core::RuntimeClock::Advance(seconds(6));
@@ -265,9 +265,9 @@
   one.deadlines->OnOperatorFailure();
   CHECK(one.End() > end);
   // A hub's update may predate these calls.
-  node::OperatorNews news;
-  news.asked = before;
-  news.told = before;
-  one.deadlines->OnOperatorNews(news, false);
+  node::OperatorNews update;
+  update.asked = before;
+  update.told = before;
+  one.deadlines->OnOperatorUpdate(update, false);
   CHECK(one.End() == end);
 }
--- a/src/jujubehead/node/control/weights_giver.cpp
+++ b/src/jujubehead/node/control/weights_giver.cpp
@@ -10,7 +10,7 @@
 
 #include "jujubehead/net/random_text.hpp" // for RandomText
 
-#include "follow.hpp" // for SpreadPause
+#include "follow.hpp" // for JitteredRetryDelay
 
 namespace jujubehead::node {
 namespace {
@@ -21,32 +21,32 @@
 constexpr std::string_view kStatePrefix = "weights/"; // then the model
 constexpr std::size_t kStartBytes = 6;
 /// Intervals between checks for work when nothing else wakes the loop.
-constexpr core::Duration kIdleTime = std::chrono::seconds(2);
-constexpr core::Duration kBusyTime = std::chrono::milliseconds(200);
+constexpr core::Duration kIdleInterval = std::chrono::seconds(2);
+constexpr core::Duration kBusyInterval = std::chrono::milliseconds(200);
 /// Delay of others, so that the last holder renews first and the lease need not
 /// expire.
-constexpr core::Duration kOthersWait = std::chrono::milliseconds(150);
+constexpr core::Duration kNonHolderDelay = std::chrono::milliseconds(150);
 /// Within this time the other instances learn that a target is about to load,
 /// and the requests that they sent there before have started.
 constexpr core::Duration kNoticeTime = std::chrono::milliseconds(300);
 /// Time for running requests to finish before the order. Most end within a
 /// second; waiting for longer ones costs more target time than it saves.
-constexpr core::Duration kFinishTime = std::chrono::milliseconds(1000);
+constexpr core::Duration kDrainTime = std::chrono::milliseconds(1000);
 /// An order reaches its target within its timeouts, or never.
-constexpr core::Duration kOrderTime = std::chrono::milliseconds(650);
+constexpr core::Duration kOrderTimeout = std::chrono::milliseconds(650);
 /// First poll after an order; loading takes most of a second once the running
 /// requests have ended.
-constexpr core::Duration kFirstLook = std::chrono::milliseconds(700);
-constexpr core::Duration kNextLook = std::chrono::milliseconds(120);
+constexpr core::Duration kFirstPollDelay = std::chrono::milliseconds(700);
+constexpr core::Duration kPollInterval = std::chrono::milliseconds(120);
 /// Resend interval of an unanswered order, in case it was lost; a target
 /// accepts only the first one that arrives.
-constexpr core::Duration kSendOrderAgain = std::chrono::seconds(2);
+constexpr core::Duration kResendInterval = std::chrono::seconds(2);
 /// A target that has not loaded by then is retried later.
 constexpr core::Duration kLoadTimeout = std::chrono::seconds(8);
-constexpr core::Duration kRetryTarget = std::chrono::seconds(1);
+constexpr core::Duration kTargetRetryDelay = std::chrono::seconds(1);
 /// How long another instance's state of loading targets is valid; it is updated
 /// whenever a target starts or finishes.
-constexpr core::Duration kBelieveTime = std::chrono::seconds(3);
+constexpr core::Duration kRemoteStateLifetime = std::chrono::seconds(3);
 
 core::OrderLeaseOptions
 LeaseOptions(const EntryOptions& aOptions)
@@ -69,12 +69,12 @@
 
 } // namespace
 
-WeightsGiver::WeightsGiver(asio::io_context& aContext,
-                           const EntryOptions& aOptions,
-                           SharedRows& aShared,
-                           TargetOrders& aOrders,
-                           const core::RemoteClock& aStoreClock,
-                           Forwarder& aForwarder)
+RolloutController::RolloutController(asio::io_context& aContext,
+                                     const EntryOptions& aOptions,
+                                     SharedRows& aShared,
+                                     TargetOrders& aOrders,
+                                     const core::RemoteClock& aStoreClock,
+                                     Forwarder& aForwarder)
   : m_context(aContext)
   , m_shared(aShared)
   , m_orders(aOrders)
@@ -87,43 +87,44 @@
 }
 
 void
-WeightsGiver::Start()
+RolloutController::Start()
 {
   asio::co_spawn(m_context, Run(), asio::detached);
 }
 
 bool
-WeightsGiver::HoldsLease() const
+RolloutController::HoldsLease() const
 {
   return m_lease.Holds(core::RuntimeClock::now());
 }
 
 void
-WeightsGiver::SetWanted(std::map<core::ModelId, core::WantedWeights> aWanted)
+RolloutController::SetWanted(
+  std::map<core::ModelId, core::WantedWeights> aWanted)
 {
   m_wanted = std::move(aWanted);
   Wake();
 }
 
 void
-WeightsGiver::SetTargets(std::vector<core::RegisteredTarget> aTargets)
+RolloutController::SetTargets(std::vector<core::RegisteredTarget> aTargets)
 {
   m_targets = std::move(aTargets);
   Wake();
 }
 
 void
-WeightsGiver::Wake()
+RolloutController::Wake()
 {
   m_wake.cancel();
 }
 
 void
-WeightsGiver::OnSharedNews(const SharedNews& aNews, bool aIsAll)
+RolloutController::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
 {
   const core::Instant now = core::RuntimeClock::now();
   bool has_lease = false;
-  for (const SharedRow& row : aNews.rows) {
+  for (const SharedRow& row : aUpdate.rows) {
     if (row.key == kLeaseKey) {
       ReadLease(row);
       has_lease = true;
@@ -139,7 +140,7 @@
 }
 
 void
-WeightsGiver::ReadLease(const SharedRow& aRow)
+RolloutController::ReadLease(const SharedRow& aRow)
 {
   const core::LeaseRow lease = core::LeaseRowOf(aRow.value.value_or(""));
   const core::Instant now = core::RuntimeClock::now();
@@ -149,7 +150,7 @@
 }
 
 void
-WeightsGiver::ReadState(const core::ModelId& aModel, const SharedRow& aRow)
+RolloutController::ReadState(const core::ModelId& aModel, const SharedRow& aRow)
 {
   Rollout& rollout = m_rollouts[aModel];
   if (aRow.version <= rollout.row_version) {
@@ -165,9 +166,9 @@
 }
 
 void
-WeightsGiver::OnLoaded(const core::ModelId& aModel,
-                       const core::TargetId& aTarget,
-                       std::uint64_t aVersion)
+RolloutController::OnLoaded(const core::ModelId& aModel,
+                            const core::TargetId& aTarget,
+                            std::uint64_t aVersion)
 {
   std::uint64_t& known = m_rollouts[aModel].loaded[aTarget];
   if (aVersion > known) {
@@ -177,13 +178,13 @@
 }
 
 void
-WeightsGiver::PublishLoading()
+RolloutController::PublishLoading()
 {
   const core::Instant now = core::RuntimeClock::now();
   std::set<core::TargetId> loading;
   for (const auto& [model, rollout] : m_rollouts) {
     loading.insert(rollout.loading.begin(), rollout.loading.end());
-    if (now - rollout.received_at < kBelieveTime && !HoldsLease()) {
+    if (now - rollout.received_at < kRemoteStateLifetime && !HoldsLease()) {
       loading.insert(rollout.loading_elsewhere.begin(),
                      rollout.loading_elsewhere.end());
     }
@@ -195,7 +196,7 @@
 }
 
 std::vector<core::RolloutTarget>
-WeightsGiver::TargetsOf(const core::ModelId& aModel) const
+RolloutController::TargetsOf(const core::ModelId& aModel) const
 {
   std::vector<core::RolloutTarget> targets;
   const auto found = m_rollouts.find(aModel);
@@ -227,7 +228,7 @@
 }
 
 bool
-WeightsGiver::HasWork() const
+RolloutController::HasWork() const
 {
   return std::any_of(
     m_wanted.begin(), m_wanted.end(), [&](const auto& aWanted) {
@@ -240,17 +241,17 @@
 }
 
 asio::awaitable<void>
-WeightsGiver::Run()
+RolloutController::Run()
 {
   constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
   for (;;) {
     const bool has_work = HasWork();
-    m_wake.expires_after(has_work ? kBusyTime : kIdleTime);
+    m_wake.expires_after(has_work ? kBusyInterval : kIdleInterval);
     co_await m_wake.async_wait(kTuple);
     PublishLoading();
     if (HasWork()) {
       try {
-        co_await Work();
+        co_await RunStep();
       } catch (const PlatformError& error) {
         DecisionLog::WriteAlways(
           LogLine("orders_lease_unwritten").Add("why", error.what()));
@@ -260,7 +261,7 @@
 }
 
 asio::awaitable<bool>
-WeightsGiver::WriteLease()
+RolloutController::WriteLease()
 {
   const core::Instant begun = core::RuntimeClock::now();
   const bool was_held = m_lease.Holds(begun);
@@ -281,7 +282,7 @@
 }
 
 asio::awaitable<void>
-WeightsGiver::Work()
+RolloutController::RunStep()
 {
   const core::Instant now = core::RuntimeClock::now();
   if (!m_lease.MayTake(now)) {
@@ -289,7 +290,7 @@
   }
   if (m_lease.IsRenewalDue(now)) {
     if (!m_lease.WasLastHolder()) {
-      const core::Duration pause = kOthersWait + SpreadPause();
+      const core::Duration pause = kNonHolderDelay + JitteredRetryDelay();
       co_await net::Sleep(pause);
       if (!m_lease.MayTake(core::RuntimeClock::now())) {
         co_return;
@@ -306,7 +307,7 @@
     for (const core::RegisteredTarget& target : m_targets) {
       if (std::find(next.begin(), next.end(), target.id) != next.end()) {
         m_rollouts[model].loading.insert(target.id);
-        asio::co_spawn(m_context, LoadOne(model, target), asio::detached);
+        asio::co_spawn(m_context, LoadTarget(model, target), asio::detached);
       }
     }
     if (!next.empty()) {
@@ -320,7 +321,7 @@
 }
 
 asio::awaitable<void>
-WeightsGiver::WriteState(core::ModelId aModel)
+RolloutController::WriteState(core::ModelId aModel)
 {
   Rollout& rollout = m_rollouts[aModel];
   core::RolloutState state;
@@ -346,7 +347,8 @@
 }
 
 asio::awaitable<void>
-WeightsGiver::LoadOne(core::ModelId aModel, core::RegisteredTarget aTarget)
+RolloutController::LoadTarget(core::ModelId aModel,
+                              core::RegisteredTarget aTarget)
 {
   co_await net::Sleep(kNoticeTime);
   Loading loading;
@@ -356,21 +358,22 @@
          core::RuntimeClock::now() - loading.begun < kLoadTimeout &&
          m_lease.Holds(core::RuntimeClock::now())) {
     try {
-      is_loaded = co_await Bring(aModel, aTarget, loading);
+      is_loaded = co_await TryLoad(aModel, aTarget, loading);
     } catch (const PlatformError& error) {
       DecisionLog::WriteAlways(LogLine("target_unanswered")
                                  .Add("target", aTarget.id.View())
                                  .Add("why", error.what()));
     }
     if (!is_loaded) {
-      co_await net::Sleep(kNextLook);
+      co_await net::Sleep(kPollInterval);
     }
   }
   Rollout& rollout = m_rollouts[aModel];
   rollout.loading.erase(aTarget.id);
   rollout.unanswered.erase(aTarget.id);
   if (!is_loaded) {
-    rollout.not_before[aTarget.id] = core::RuntimeClock::now() + kRetryTarget;
+    rollout.not_before[aTarget.id] =
+      core::RuntimeClock::now() + kTargetRetryDelay;
   }
   DecisionLog::WriteAlways(
     LogLine(is_loaded ? "weights_loaded" : "weights_not_loaded")
@@ -385,9 +388,9 @@
 }
 
 bool
-WeightsGiver::SetUnanswered(const core::ModelId& aModel,
-                            const core::TargetId& aTarget,
-                            bool aIsUnanswered)
+RolloutController::SetUnanswered(const core::ModelId& aModel,
+                                 const core::TargetId& aTarget,
+                                 bool aIsUnanswered)
 {
   Rollout& rollout = m_rollouts[aModel];
   auto& from = aIsUnanswered ? rollout.loading : rollout.unanswered;
@@ -403,10 +406,10 @@
 }
 
 asio::awaitable<std::optional<OrderAnswer>>
-WeightsGiver::GiveOrder(const core::ModelId& aModel,
-                        const core::RegisteredTarget& aTarget,
-                        const WeightsReport& aReport,
-                        Loading& aLoading)
+RolloutController::SendOrder(const core::ModelId& aModel,
+                             const core::RegisteredTarget& aTarget,
+                             const WeightsReport& aReport,
+                             Loading& aLoading)
 {
   LoadOrder order;
   order.target = aTarget.id;
@@ -414,7 +417,7 @@
   order.orders_taken = aReport.orders_taken;
   order.holder = m_lease.Self();
   order.fencing_token = m_lease.FencingToken();
-  order.runs = aReport.requests == 0 ? RunsMode::kFinish : RunsMode::kGoOn;
+  order.runs = aReport.requests == 0 ? RunsMode::kFinish : RunsMode::kContinue;
   aLoading.last_order = core::RuntimeClock::now();
   aLoading.orders_taken = aReport.orders_taken;
   try {
@@ -430,9 +433,9 @@
 }
 
 asio::awaitable<bool>
-WeightsGiver::Bring(const core::ModelId& aModel,
-                    const core::RegisteredTarget& aTarget,
-                    Loading& aLoading)
+RolloutController::TryLoad(const core::ModelId& aModel,
+                           const core::RegisteredTarget& aTarget,
+                           Loading& aLoading)
 {
   const WeightsReport report = co_await m_orders.Report(aTarget.address);
   const std::uint64_t wanted = m_wanted[aModel].Newest();
@@ -449,14 +452,14 @@
     co_return false;
   }
   const bool is_empty = report.requests == 0;
-  const bool may_order = is_empty || now - aLoading.begun >= kFinishTime;
-  const bool is_under_way = now - aLoading.last_order < kSendOrderAgain &&
+  const bool may_order = is_empty || now - aLoading.begun >= kDrainTime;
+  const bool is_under_way = now - aLoading.last_order < kResendInterval &&
                             report.orders_taken == aLoading.orders_taken;
-  if (is_under_way || !may_order || !m_lease.Holds(now + kOrderTime)) {
+  if (is_under_way || !may_order || !m_lease.Holds(now + kOrderTimeout)) {
     co_return false;
   }
   const std::optional<OrderAnswer> answer =
-    co_await GiveOrder(aModel, aTarget, report, aLoading);
+    co_await SendOrder(aModel, aTarget, report, aLoading);
   if (!answer) {
     if (SetUnanswered(aModel, aTarget.id, true)) {
       co_await WriteState(aModel);
@@ -469,7 +472,7 @@
   }
   if (answer == OrderAnswer::kAccepted) {
     SetUnanswered(aModel, aTarget.id, false);
-    co_await net::Sleep(kFirstLook);
+    co_await net::Sleep(kFirstPollDelay);
   } else {
     // Another order is running there or was accepted: poll again soon.
     aLoading.last_order = core::Instant{};
--- a/src/jujubehead/node/control/weights_giver.hpp
+++ b/src/jujubehead/node/control/weights_giver.hpp
@@ -24,22 +24,22 @@
 /// @brief Rolls out new weights to the targets while this instance holds the
 /// lease for orders, and publishes to the traffic thread which targets are
 /// loading, whichever instance ordered it.
-class WeightsGiver
+class RolloutController
 {
 public:
-  WeightsGiver(boost::asio::io_context& aContext,
-               const EntryOptions& aOptions,
-               SharedRows& aShared,
-               TargetOrders& aOrders,
-               const core::RemoteClock& aStoreClock,
-               Forwarder& aForwarder);
+  RolloutController(boost::asio::io_context& aContext,
+                    const EntryOptions& aOptions,
+                    SharedRows& aShared,
+                    TargetOrders& aOrders,
+                    const core::RemoteClock& aStoreClock,
+                    Forwarder& aForwarder);
 
   void Start();
   /// @brief This instance is shutting down.
   void BeginStop() { m_lease.Retire(); }
   void SetWanted(std::map<core::ModelId, core::WantedWeights> aWanted);
   void SetTargets(std::vector<core::RegisteredTarget> aTargets);
-  void OnSharedNews(const SharedNews& aNews, bool aIsAll);
+  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
   [[nodiscard]] bool HoldsLease() const;
 
 private:
@@ -57,11 +57,11 @@
   };
 
   boost::asio::awaitable<void> Run();
-  boost::asio::awaitable<void> Work();
+  boost::asio::awaitable<void> RunStep();
   boost::asio::awaitable<bool> WriteLease();
   boost::asio::awaitable<void> WriteState(core::ModelId aModel);
-  boost::asio::awaitable<void> LoadOne(core::ModelId aModel,
-                                       core::RegisteredTarget aTarget);
+  boost::asio::awaitable<void> LoadTarget(core::ModelId aModel,
+                                          core::RegisteredTarget aTarget);
   /// State kept between two polls of a target that is to load.
   struct Loading
   {
@@ -70,11 +70,11 @@
     std::uint64_t orders_taken = 0; ///< Before the last order.
   };
 
-  boost::asio::awaitable<bool> Bring(const core::ModelId& aModel,
-                                     const core::RegisteredTarget& aTarget,
-                                     Loading& aLoading);
+  boost::asio::awaitable<bool> TryLoad(const core::ModelId& aModel,
+                                       const core::RegisteredTarget& aTarget,
+                                       Loading& aLoading);
   /// @return nothing without an answer; the order may still be executed.
-  boost::asio::awaitable<std::optional<OrderAnswer>> GiveOrder(
+  boost::asio::awaitable<std::optional<OrderAnswer>> SendOrder(
     const core::ModelId& aModel,
     const core::RegisteredTarget& aTarget,
     const WeightsReport& aReport,
