--- a/include/jujubehead/node/control/known_rows.hpp
+++ b/include/jujubehead/node/control/known_rows.hpp
@@ -35,7 +35,7 @@
   [[nodiscard]] virtual std::optional<RowNews> NewsAfter(
     const std::string& aCursors,
     core::Instant aNow) const = 0;
-  /// @param aAsOf latest time at which the rows were current at the store.
+  /// @param aAsOf time as of which the rows were current at the store.
   /// @param aRequestedAt when the request was sent.
   /// @return whether followers of the rows have unread changes; until they read
   /// them, their data is older than aAsOf.
--- a/include/jujubehead/node/control/platform.hpp
+++ b/include/jujubehead/node/control/platform.hpp
@@ -57,11 +57,10 @@
   std::uint64_t cursor = 0; ///< For the next ReadChanges().
   /// From another instance's cache, while the store itself did not answer.
   bool is_recalled = false;
-  core::Instant told{};  ///< Latest time at which this was current.
+  core::Instant told{};  ///< Time as of which this was current.
   core::Instant asked{}; ///< When the request was sent.
   std::optional<core::Declarations> declarations;
-  std::vector<core::LoadedModel>
-    wanted;                        ///< Weights to roll out to all targets.
+  std::vector<core::LoadedModel> wanted; ///< To roll out to all targets.
   std::vector<std::string> unread; ///< Rows that failed to parse, and why.
 };
 
--- a/src/jujubehead/node/control/entry_control.hpp
+++ b/src/jujubehead/node/control/entry_control.hpp
@@ -36,7 +36,7 @@
                core::StorePaths& aPaths,
                Forwarder& aForwarder);
 
-  /// @brief Starts following; from then on call it on the context only.
+  /// @brief Starts following; all later calls must be made on the context.
   void Start();
   /// @brief This instance is shutting down.
   void BeginStop() { m_rollout.BeginStop(); }
@@ -65,8 +65,8 @@
   void OnRegistryUpdate(const RegistryNews& aUpdate, bool aIsAll);
   void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
   void SetInstances();
-  /// @return whether this instance follows the operators' store itself or
-  /// receives its rows from a hub.
+  /// @return true once this instance either watches the operators' store itself
+  /// or receives its rows from a hub.
   [[nodiscard]] bool IsSettled() const;
   boost::asio::awaitable<void> MaintainInstanceRows();
   void PublishTargets();
--- a/src/jujubehead/node/control/hub_exchange.cpp
+++ b/src/jujubehead/node/control/hub_exchange.cpp
@@ -205,21 +205,22 @@
   call.connect_timeout = kHubTimeout;
   call.idle_timeout = kHubTimeout;
   // The hub's data is at most as old as the request.
-  const core::Instant sent_at = core::RuntimeClock::now();
+  const core::Instant requested_at = core::RuntimeClock::now();
   const net::HttpResponse response = co_await m_client->Fetch(std::move(call));
   if (response.status != kOk) {
     throw PlatformError(PlatformFault::kBusy,
                         "status " + std::to_string(response.status));
   }
-  HubUpdate update = HubUpdateFromBytes(response.body, sent_at);
+  HubUpdate update = HubUpdateFromBytes(response.body, requested_at);
   aCursor.start = update.start;
   aCursor.parts = update.parts.cursor;
   aCursor.supports_loads = update.has_loads;
   m_pending_loads = co_await ExchangeLoads(std::move(update.loads));
-  m_stores.TakeNews(update.parts, update.clock_ms, sent_at);
+  m_stores.TakeNews(update.parts, update.clock_ms, requested_at);
   if (update.rows) {
-    const core::Instant as_of = sent_at - update.rows->age;
-    const bool has_unread = m_rows.TakeNews(update.rows->bytes, as_of, sent_at);
+    const core::Instant as_of = requested_at - update.rows->age;
+    const bool has_unread =
+      m_rows.TakeNews(update.rows->bytes, as_of, requested_at);
     if (!has_unread) {
       m_hooks.on_heard(as_of);
     }
--- a/src/jujubehead/node/control/hub_exchange.hpp
+++ b/src/jujubehead/node/control/hub_exchange.hpp
@@ -66,9 +66,9 @@
               HubHooks aHooks);
 
   void Start();
-  /// @brief Answers another instance's kHubNewsPath.
+  /// @brief Answers a kHubNewsPath request of another instance.
   boost::asio::awaitable<void> Handle(net::HttpExchange& aExchange);
-  /// @brief Answers another hub's kHubLoadsPath.
+  /// @brief Answers a kHubLoadsPath request of another hub.
   boost::asio::awaitable<void> HandleLoads(net::HttpExchange& aExchange);
 
 private:
--- a/src/jujubehead/node/control/hub_news_codec.hpp
+++ b/src/jujubehead/node/control/hub_news_codec.hpp
@@ -37,7 +37,7 @@
 LoadsFromBytes(std::string_view aBytes, core::Instant aSentAt);
 
 /// @brief Encodes the message as CBOR, and decodes it.
-/// @param aSentAt latest time of sending, by the reader's clock.
+/// @param aSentAt assumed time of sending, by the reader's clock.
 /// @throws std::exception on malformed bytes.
 std::string
 ToBytes(const HubUpdate& aUpdate, core::Instant aNow);
--- a/src/jujubehead/node/control/store_keeper.hpp
+++ b/src/jujubehead/node/control/store_keeper.hpp
@@ -53,7 +53,7 @@
   void Start();
   void SetStores(const std::vector<core::DeclaredStore>& aStores);
   void SetWanted(const std::map<core::ModelId, core::WantedWeights>& aWanted);
-  /// @param aAsOf latest time at which the page was current at the store.
+  /// @param aAsOf assumed time at which the store sent the page.
   void OnPage(const core::StoreId& aStore,
               const core::PartEventPage& aPage,
               core::Instant aAsOf);
--- a/src/jujubehead/node/control/store_watch.cpp
+++ b/src/jujubehead/node/control/store_watch.cpp
@@ -114,10 +114,10 @@
       continue;
     }
     const core::Watchers watchers{ m_role.Hubs().size(), aStore.most_watchers };
-    const core::Instant begun = core::RuntimeClock::now();
+    const core::Instant started = core::RuntimeClock::now();
     const PollOutcome outcome = co_await PollStore(aStore, watchers, cursor);
     core::Duration pause =
-      core::WatchPause(core::RuntimeClock::now() - begun, watchers);
+      core::WatchPause(core::RuntimeClock::now() - started, watchers);
     if (outcome == PollOutcome::kBusy) {
       // The store is up, so its last page stays valid for the usual time.
       pause = kBusyRetryFactor * JitteredRetryDelay();
--- a/src/jujubehead/node/control/store_watch.hpp
+++ b/src/jujubehead/node/control/store_watch.hpp
@@ -25,7 +25,7 @@
 /// @brief Callbacks of a StoreWatch.
 struct StoreWatchHooks
 {
-  /// @param aAsOf latest time at which the page was current at the store.
+  /// @param aAsOf assumed time at which the store sent the page.
   std::function<void(const core::StoreId& aStore,
                      core::PartEventPage aPage,
                      core::Instant aAsOf)>
@@ -55,7 +55,7 @@
     return m_clock.At(aNow);
   }
   /// @brief Applies an update from a hub.
-  /// @param aSentAt latest time at which the hub sent it.
+  /// @param aSentAt assumed time at which the hub sent it.
   void TakeNews(const core::PartNews& aUpdate,
                 std::optional<std::int64_t> aClockMs,
                 core::Instant aSentAt);
--- a/src/jujubehead/node/control/weights_deadlines.cpp
+++ b/src/jujubehead/node/control/weights_deadlines.cpp
@@ -43,7 +43,7 @@
 }
 
 core::HeardTime
-HeardTimeOf(const EntryOptions& aOptions)
+AllowedTimes(const EntryOptions& aOptions)
 {
   core::HeardTime time;
   time.in_one = Scale(aOptions.weights_time, kOldWeightsShare);
@@ -67,7 +67,7 @@
   , m_instances(aInstances)
   , m_self(aOptions.instance_id.Text())
   , m_hooks(std::move(aHooks))
-  , m_old(HeardTimeOf(aOptions))
+  , m_old(AllowedTimes(aOptions))
   , m_wake(aContext)
 {
 }
--- a/src/jujubehead/node/control/weights_giver.cpp
+++ b/src/jujubehead/node/control/weights_giver.cpp
@@ -263,16 +263,16 @@
 asio::awaitable<bool>
 RolloutController::WriteLease()
 {
-  const core::Instant begun = core::RuntimeClock::now();
-  const bool was_held = m_lease.Holds(begun);
-  const core::LeaseRow row{ m_lease.Self(), m_store_clock.MostAt(begun) };
+  const core::Instant started = core::RuntimeClock::now();
+  const bool was_held = m_lease.Holds(started);
+  const core::LeaseRow row{ m_lease.Self(), m_store_clock.MostAt(started) };
   std::string key(kLeaseKey);
   const std::optional<std::uint64_t> version = co_await m_shared.Put(
     std::move(key), core::ToText(row), m_lease.RowVersion());
   if (!version) {
     co_return false;
   }
-  m_lease.OnWritten(*version, begun);
+  m_lease.OnWritten(*version, started);
   if (!was_held) {
     DecisionLog::WriteAlways(LogLine("orders_lease_taken")
                                .Add("holder", m_lease.Self())
@@ -352,10 +352,10 @@
 {
   co_await net::Sleep(kNoticeTime);
   Loading loading;
-  loading.begun = core::RuntimeClock::now();
+  loading.started_at = core::RuntimeClock::now();
   bool is_loaded = false;
   while (!is_loaded &&
-         core::RuntimeClock::now() - loading.begun < kLoadTimeout &&
+         core::RuntimeClock::now() - loading.started_at < kLoadTimeout &&
          m_lease.Holds(core::RuntimeClock::now())) {
     try {
       is_loaded = co_await TryLoad(aModel, aTarget, loading);
@@ -379,7 +379,7 @@
     LogLine(is_loaded ? "weights_loaded" : "weights_not_loaded")
       .Add("target", aTarget.id.View())
       .Add("model", aModel.View())
-      .Add("took", core::RuntimeClock::now() - loading.begun));
+      .Add("took", core::RuntimeClock::now() - loading.started_at));
   PublishLoading();
   if (HoldsLease()) {
     co_await WriteState(aModel);
@@ -452,7 +452,7 @@
     co_return false;
   }
   const bool is_empty = report.requests == 0;
-  const bool may_order = is_empty || now - aLoading.begun >= kDrainTime;
+  const bool may_order = is_empty || now - aLoading.started_at >= kDrainTime;
   const bool is_under_way = now - aLoading.last_order < kResendInterval &&
                             report.orders_taken == aLoading.orders_taken;
   if (is_under_way || !may_order || !m_lease.Holds(now + kOrderTimeout)) {
--- a/src/jujubehead/node/control/weights_giver.hpp
+++ b/src/jujubehead/node/control/weights_giver.hpp
@@ -47,8 +47,8 @@
   struct Rollout
   {
     std::map<core::TargetId, std::uint64_t> loaded; ///< Confirmed versions.
-    std::set<core::TargetId> loading; ///< Ordered by this instance.
-    /// Ordered by this instance too, without an answer; they keep serving.
+    std::set<core::TargetId> loading; ///< On behalf of this instance.
+    /// Likewise, but with an unanswered order; they keep serving.
     std::set<core::TargetId> unanswered;
     std::map<core::TargetId, core::Instant> not_before;
     std::set<core::TargetId> loading_elsewhere;
@@ -65,7 +65,7 @@
   /// State kept between two polls of a target that is to load.
   struct Loading
   {
-    core::Instant begun{};
+    core::Instant started_at{};
     core::Instant last_order{};
     std::uint64_t orders_taken = 0; ///< Before the last order.
   };
