--- a/src/jujubehead/node/control/hub_news_codec_test.cpp
+++ b/src/jujubehead/node/control/hub_news_codec_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_GROUP(HubNewsCodec)
+TEST_GROUP(HubUpdateCodec)
 {
   HubUpdate message;
 
@@ -37,7 +37,7 @@
   }
 };
 
-TEST(HubNewsCodec, RoundTrip)
+TEST(HubUpdateCodec, RoundTrip)
 {
   const HubUpdate back =
     node::HubUpdateFromBytes(node::ToBytes(message, kNow), kNow);
@@ -61,7 +61,7 @@
   STRCMP_EQUAL("w1", back.parts.changes.at(2).scope.c_str());
 }
 
-TEST(HubNewsCodec, RejectsTruncatedOrMalformedBytes)
+TEST(HubUpdateCodec, RejectsTruncatedOrMalformedBytes)
 {
   const std::string bytes = node::ToBytes(message, kNow);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -75,7 +75,7 @@
   CHECK_THROWS(std::exception, node::ToBytes(message, kNow));
 }
 
-TEST(HubNewsCodec, LoadTakesEightBytesAndCountsSaturate)
+TEST(HubUpdateCodec, LoadTakesEightBytesAndCountsSaturate)
 {
   core::HeardLoad full{ core::KeyOf(core::TargetId("t2")),
                         { 4000, 4000, 4000 },
@@ -93,7 +93,7 @@
 }
 
 // During a rolling upgrade an older instance sends loads as a list.
-TEST(HubNewsCodec, IgnoresLoadsInAnotherEncoding)
+TEST(HubUpdateCodec, IgnoresLoadsInAnotherEncoding)
 {
   message.has_loads = false;
   const HubUpdate back =
@@ -103,7 +103,7 @@
   LONGS_EQUAL(42, back.parts.cursor.next);
 }
 
-TEST(HubNewsCodec, LoadsRoundTripAndMalformedLoadsAreRejected)
+TEST(HubUpdateCodec, LoadsRoundTripAndMalformedLoadsAreRejected)
 {
   const auto back =
     node::LoadsFromBytes(node::LoadsToBytes(message.loads, kNow), kNow);
