--- a/src/jujubehead/node/control/follow.hpp
+++ b/src/jujubehead/node/control/follow.hpp
@@ -18,37 +18,37 @@
 
 namespace jujubehead::node {
 
-/// @brief How a feed is followed.
+/// @brief Options of Follow().
 struct FollowOptions
 {
-  std::string name; ///< For the log.
-  /// Longest wait for a change. A connection can fall silent for good, so each
-  /// wait is short and has a time-out of its own.
+  std::string name; ///< For log lines.
+  /// Longest wait for a change. A connection can hang for good without an
+  /// error, so each wait is short and has its own timeout.
   core::Duration wait = std::chrono::milliseconds(1200);
-  /// Pause after changes came, so that many small ones come together.
+  /// Pause after an update, so that small changes are batched.
   core::Duration pause{};
-  /// Longest pause after the first reading. When all instances start at once,
+  /// Longest pause after the first read. When all instances start at once,
   /// their own rows appear one by one, and each would be read by all of them
   /// (thundering herd); those that find a hub meanwhile need not read at all.
   core::Duration settle{};
-  /// Ends that pause.
+  /// Ends that pause early.
   std::function<bool()> is_settled = [] { return true; };
 };
 
-/// @brief What is done with what a feed tells.
-template<typename News>
+/// @brief Callbacks of Follow().
+template<typename Update>
 struct FollowHooks
 {
-  /// @param aIsAll whether it is the whole, not only what changed.
-  std::function<void(const News& aNews, bool aIsAll)> on_news;
-  /// It told nothing this time.
+  /// @param aIsAll whether it is a full snapshot, not only the changes.
+  std::function<void(const Update& aUpdate, bool aIsAll)> on_update;
+  /// A read failed.
   std::function<void(PlatformFault aWhy)> on_silence = [](PlatformFault) {};
 };
 
-/// @return a pause before asking again a service that did not answer, spread so
-/// that instances do not ask together.
+/// @return a random delay before a retry, so that instances do not retry a
+/// failed service all at once.
 inline core::Duration
-SpreadPause()
+JitteredRetryDelay()
 {
   constexpr int kFromMs = 80;
   constexpr int kToMs = 250;
@@ -57,32 +57,33 @@
   return std::chrono::milliseconds(spread(random));
 }
 
-/// @return the pause until an instance looks again whether it has become a hub,
-/// or is one no more.
+/// @return the interval at which an instance checks whether it has become a hub
+/// or ceased to be one.
 inline core::Duration
-RolePause(const core::HubRole& aRole)
+RoleCheckInterval(const core::HubRole& aRole)
 {
   constexpr core::Duration kSettling = std::chrono::milliseconds(200);
   constexpr core::Duration kUsual = std::chrono::seconds(2);
   return aRole.IsSettling(core::RuntimeClock::now()) ? kSettling : kUsual;
 }
 
-/// @brief Waits until a start has settled.
+/// @brief Waits until the instances that start together have settled.
 inline boost::asio::awaitable<void>
-Settle(FollowOptions aOptions)
+WaitUntilSettled(FollowOptions aOptions)
 {
-  constexpr core::Duration kLook = std::chrono::milliseconds(50);
+  constexpr core::Duration kSettleCheckInterval = std::chrono::milliseconds(50);
   const core::Instant until = core::RuntimeClock::now() + aOptions.settle;
   while (core::RuntimeClock::now() < until && !aOptions.is_settled()) {
-    co_await net::Sleep(kLook);
+    co_await net::Sleep(kSettleCheckInterval);
   }
 }
 
-/// @brief Follows a feed for ever, over outages and lost history. What is older
-/// than what was seen is passed over: a service may answer from the past.
-template<typename News>
+/// @brief Follows a feed for ever, across outages and lost history. Updates
+/// older than one already seen are skipped: a service may answer with stale
+/// data.
+template<typename Update>
 boost::asio::awaitable<void>
-Follow(Feed<News>& aFeed, FollowOptions aOptions, FollowHooks<News> aHooks)
+Follow(Feed<Update>& aFeed, FollowOptions aOptions, FollowHooks<Update> aHooks)
 {
   std::optional<std::uint64_t> cursor;
   std::uint64_t newest = 0;
@@ -93,30 +94,30 @@
     std::string why;
     try {
       const bool reads_all = !cursor;
-      News news;
+      Update update;
       if (reads_all) {
-        news = co_await aFeed.ReadAll();
+        update = co_await aFeed.ReadAll();
       } else {
-        // What changed while the start settled is read without a wait, as
-        // others may be waiting to hear of this instance that it did.
+        // Changes made during the start-up pause are read without a wait:
+        // others may be waiting for this instance to confirm them.
         const core::Duration wait =
           is_start ? core::Duration(0) : aOptions.wait;
         is_start = false;
-        news = co_await aFeed.ReadChanges(*cursor, wait);
+        update = co_await aFeed.ReadChanges(*cursor, wait);
       }
       if (is_lost) {
         is_lost = false;
         DecisionLog::WriteAlways(LogLine("feed_regained")
                                    .Add("feed", aOptions.name)
-                                   .Add("cursor", news.cursor));
+                                   .Add("cursor", update.cursor));
       }
-      if (news.cursor >= newest) {
-        newest = news.cursor;
-        cursor = news.cursor;
-        aHooks.on_news(news, reads_all);
+      if (update.cursor >= newest) {
+        newest = update.cursor;
+        cursor = update.cursor;
+        aHooks.on_update(update, reads_all);
       } else if (reads_all) {
         fault = PlatformFault::kUnusable;
-        why = "an answer from the past";
+        why = "response older than one already read";
       }
     } catch (const PlatformError& error) {
       fault = error.Fault();
@@ -127,7 +128,7 @@
     }
     if (!fault) {
       if (is_start) {
-        co_await Settle(aOptions);
+        co_await WaitUntilSettled(aOptions);
       } else if (aOptions.pause > core::Duration(0) && !aFeed.IsFree()) {
         co_await net::Sleep(aOptions.pause);
       }
@@ -144,7 +145,7 @@
                                  .Add("why", why));
     }
     aHooks.on_silence(*fault);
-    const core::Duration pause = SpreadPause();
+    const core::Duration pause = JitteredRetryDelay();
     co_await net::Sleep(pause);
   }
 }
--- a/src/jujubehead/node/control/hub_news_codec_test.cpp
+++ b/src/jujubehead/node/control/hub_news_codec_test.cpp
@@ -3,7 +3,7 @@
 #include <CppUTest/TestHarness.h> // for TEST
 
 using namespace jujubehead;
-using node::HubNews;
+using node::HubUpdate;
 
 namespace {
 
@@ -11,9 +11,9 @@
 
 } // namespace
 
-TEST_GROUP(HubNewsCodec)
+TEST_GROUP(HubUpdateCodec)
 {
-  HubNews message;
+  HubUpdate message;
 
   void setup() override
   {
@@ -37,9 +37,10 @@
   }
 };
 
-TEST(HubNewsCodec, WhatIsWrittenIsReadBack)
+TEST(HubUpdateCodec, RoundTrip)
 {
-  const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
+  const HubUpdate back =
+    node::HubUpdateFromBytes(node::ToBytes(message, kNow), kNow);
   STRCMP_EQUAL("i1/abc", back.start.c_str());
   LONGS_EQUAL(42, back.parts.cursor.next);
   LONGS_EQUAL(40, back.parts.cursor.since);
@@ -51,7 +52,7 @@
   LONGS_EQUAL(3, back.loads.at(0).load.waiting);
   CHECK(back.loads.at(0).heard <= message.loads.at(0).heard);
   CHECK(back.rows->age >= message.rows->age);
-  // An age is never told too small.
+  // Ages are rounded up.
   CHECK(back.parts.stores.at(1).age >= message.parts.stores.at(1).age);
   CHECK(back.parts.changes.at(0).store == core::StoreId("s2"));
   LONGS_EQUAL(800, back.parts.changes.at(0).tokens);
@@ -60,21 +61,21 @@
   STRCMP_EQUAL("w1", back.parts.changes.at(2).scope.c_str());
 }
 
-TEST(HubNewsCodec, BytesCutShortOrOfAnotherKindAreRefused)
+TEST(HubUpdateCodec, RejectsTruncatedOrMalformedBytes)
 {
   const std::string bytes = node::ToBytes(message, kNow);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
-    CHECK_THROWS(
-      std::exception,
-      node::HubNewsOf(std::string_view(bytes).substr(0, length), kNow));
+    CHECK_THROWS(std::exception,
+                 node::HubUpdateFromBytes(
+                   std::string_view(bytes).substr(0, length), kNow));
   }
-  CHECK_THROWS(std::exception, node::HubNewsOf("{\"start\":1}", kNow));
-  // A change of a store that is not listed.
+  CHECK_THROWS(std::exception, node::HubUpdateFromBytes("{\"start\":1}", kNow));
+  // A change that refers to a store not in the list.
   message.parts.changes.at(0).store = core::StoreId("s3");
   CHECK_THROWS(std::exception, node::ToBytes(message, kNow));
 }
 
-TEST(HubNewsCodec, ALoadTakesEightBytesAndCountsEndAtTheirMost)
+TEST(HubUpdateCodec, LoadTakesEightBytesAndCountsSaturate)
 {
   core::HeardLoad full{ core::KeyOf(core::TargetId("t2")),
                         { 4000, 4000, 4000 },
@@ -82,7 +83,7 @@
   const core::HeardLoad gone = core::GoneTarget(core::TargetId("t3"), kNow);
   const std::string bytes = node::LoadsToBytes({ full, gone }, kNow);
   LONGS_EQUAL(16, bytes.size());
-  const auto back = node::LoadsOf(bytes, kNow);
+  const auto back = node::LoadsFromBytes(bytes, kNow);
   CHECK(back.at(0).target == full.target);
   LONGS_EQUAL(254, back.at(0).load.running);
   LONGS_EQUAL(255, back.at(0).load.waiting);
@@ -91,21 +92,22 @@
   CHECK(back.at(1).is_gone && back.at(1).target == gone.target);
 }
 
-// A rolling replacement: an instance of an older version tells loads as a list.
-TEST(HubNewsCodec, LoadsInAnotherFormAreLeftOut)
+// During a rolling upgrade an older instance sends loads as a list.
+TEST(HubUpdateCodec, IgnoresLoadsInAnotherEncoding)
 {
   message.has_loads = false;
-  const HubNews back = node::HubNewsOf(node::ToBytes(message, kNow), kNow);
+  const HubUpdate back =
+    node::HubUpdateFromBytes(node::ToBytes(message, kNow), kNow);
   CHECK_FALSE(back.has_loads);
   CHECK(back.loads.empty());
   LONGS_EQUAL(42, back.parts.cursor.next);
 }
 
-TEST(HubNewsCodec, LoadsAreReadBackAndNoneFromOtherBytes)
+TEST(HubUpdateCodec, LoadsRoundTripAndMalformedLoadsAreRejected)
 {
   const auto back =
-    node::LoadsOf(node::LoadsToBytes(message.loads, kNow), kNow);
+    node::LoadsFromBytes(node::LoadsToBytes(message.loads, kNow), kNow);
   CHECK(back.at(0).target == core::KeyOf(core::TargetId("t1")));
   LONGS_EQUAL(12, back.at(0).load.slots);
-  CHECK_THROWS(std::exception, node::LoadsOf("x", kNow));
+  CHECK_THROWS(std::exception, node::LoadsFromBytes("x", kNow));
 }
--- a/src/jujubehead/node/control/weights_giver.hpp
+++ b/src/jujubehead/node/control/weights_giver.hpp
@@ -21,65 +21,65 @@
 
 namespace jujubehead::node {
 
-/// @brief Brings new weights to the targets, while this instance holds the
-/// lease for giving orders, and tells the traffic thread which targets are
-/// loading, by whichever instance.
-class WeightsGiver
+/// @brief Rolls out new weights to the targets while this instance holds the
+/// lease for orders, and publishes to the traffic thread which targets are
+/// loading, whichever instance ordered it.
+class RolloutController
 {
 public:
-  WeightsGiver(boost::asio::io_context& aContext,
-               const EntryOptions& aOptions,
-               SharedRows& aShared,
-               TargetOrders& aOrders,
-               const core::RemoteClock& aStoreClock,
-               Forwarder& aForwarder);
+  RolloutController(boost::asio::io_context& aContext,
+                    const EntryOptions& aOptions,
+                    SharedRows& aShared,
+                    TargetOrders& aOrders,
+                    const core::RemoteClock& aStoreClock,
+                    Forwarder& aForwarder);
 
   void Start();
-  /// @brief This instance is about to end.
+  /// @brief This instance is shutting down.
   void BeginStop() { m_lease.Retire(); }
   void SetWanted(std::map<core::ModelId, core::WantedWeights> aWanted);
   void SetTargets(std::vector<core::RegisteredTarget> aTargets);
-  void OnSharedNews(const SharedNews& aNews, bool aIsAll);
+  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
   [[nodiscard]] bool HoldsLease() const;
 
 private:
-  /// What is known of one model's roll-out.
+  /// State of one model's roll-out.
   struct Rollout
   {
-    std::map<core::TargetId, std::uint64_t> loaded; ///< Versions, as confirmed.
-    std::set<core::TargetId> loading;               ///< By this instance.
-    /// By this instance too, whose orders stay unanswered; they serve on.
+    std::map<core::TargetId, std::uint64_t> loaded; ///< Confirmed versions.
+    std::set<core::TargetId> loading; ///< On behalf of this instance.
+    /// Likewise, but with an unanswered order; they keep serving.
     std::set<core::TargetId> unanswered;
     std::map<core::TargetId, core::Instant> not_before;
     std::set<core::TargetId> loading_elsewhere;
-    core::Instant heard{}; ///< From another instance.
+    core::Instant received_at{}; ///< Of loading_elsewhere.
     std::uint64_t row_version = 0;
   };
 
   boost::asio::awaitable<void> Run();
-  boost::asio::awaitable<void> Work();
+  boost::asio::awaitable<void> RunStep();
   boost::asio::awaitable<bool> WriteLease();
   boost::asio::awaitable<void> WriteState(core::ModelId aModel);
-  boost::asio::awaitable<void> LoadOne(core::ModelId aModel,
-                                       core::RegisteredTarget aTarget);
-  /// What is remembered between two looks at a target that is to load.
+  boost::asio::awaitable<void> LoadTarget(core::ModelId aModel,
+                                          core::RegisteredTarget aTarget);
+  /// State kept between two polls of a target that is to load.
   struct Loading
   {
-    core::Instant begun{};
+    core::Instant started_at{};
     core::Instant last_order{};
     std::uint64_t orders_taken = 0; ///< Before the last order.
   };
 
-  boost::asio::awaitable<bool> Bring(const core::ModelId& aModel,
-                                     const core::RegisteredTarget& aTarget,
-                                     Loading& aLoading);
-  /// @return nothing when it stays unanswered; it may be carried out yet.
-  boost::asio::awaitable<std::optional<OrderAnswer>> GiveOrder(
+  boost::asio::awaitable<bool> TryLoad(const core::ModelId& aModel,
+                                       const core::RegisteredTarget& aTarget,
+                                       Loading& aLoading);
+  /// @return nothing without an answer; the order may still be executed.
+  boost::asio::awaitable<std::optional<OrderAnswer>> SendOrder(
     const core::ModelId& aModel,
     const core::RegisteredTarget& aTarget,
     const WeightsReport& aReport,
     Loading& aLoading);
-  /// @return whether anything changed.
+  /// @return whether the state changed.
   bool SetUnanswered(const core::ModelId& aModel,
                      const core::TargetId& aTarget,
                      bool aIsUnanswered);
