--- a/include/jujubehead/core/ownership.hpp
+++ b/include/jujubehead/core/ownership.hpp
@@ -14,46 +14,50 @@
 
 namespace jujubehead::core {
 
-/// @brief The times of leases and of the table service's use.
+/// @brief Timings of leases and of the use of the table service.
 struct OwnershipRules
 {
-  Duration renew_every = std::chrono::seconds(1);
+  Duration renew_interval = std::chrono::seconds(1);
   Duration lease = std::chrono::seconds(4);
-  /// Witnesses wait this longer than the holder: clock drift over a lease.
+  /// Added by witnesses to the lease duration: bounds clock drift over a lease.
   Duration drift = std::chrono::milliseconds(500);
-  Duration vote_retry = std::chrono::milliseconds(250);
-  /// A witness that did not answer for so long is replaced.
-  Duration witness_lost = std::chrono::seconds(8);
-  /// Not in the platform's list and silent for so long: taken for gone.
-  Duration gone_after = std::chrono::seconds(30);
-  /// Members must look unchanged for so long before a group moves by choice.
-  Duration settle = std::chrono::seconds(10);
-  /// All rows are read again after this.
-  Duration scan_every = std::chrono::minutes(5);
-  Duration service_retry_least = std::chrono::milliseconds(500);
-  Duration service_retry_most = std::chrono::seconds(10);
-  /// Spread of the first claim of an instance, and of its scans.
+  Duration vote_retry_interval = std::chrono::milliseconds(250);
+  /// A witness that has not replied for this long is replaced.
+  Duration witness_timeout = std::chrono::seconds(8);
+  /// An instance that is missing from the platform's list and has sent nothing
+  /// for this long is considered gone.
+  Duration member_timeout = std::chrono::seconds(30);
+  /// The member list must be unchanged for this long before groups are
+  /// rebalanced.
+  Duration settle_time = std::chrono::seconds(10);
+  /// Interval between full scans of the rows.
+  Duration scan_interval = std::chrono::minutes(5);
+  Duration service_retry_min = std::chrono::milliseconds(500);
+  Duration service_retry_max = std::chrono::seconds(10);
+  /// Random spread of an instance's first claim and of its scans.
   Duration jitter = std::chrono::seconds(2);
-  /// A leaving instance gives up on the table service and resigns.
-  Duration resign_after = std::chrono::seconds(5);
-  std::size_t moves_at_once = 8;
-  /// All instances together keep to about this many rows a second, each by
-  /// waiting for a random time that grows with the number of instances: claims
-  /// of groups that nobody owns, and what can wait.
+  /// A leaving instance resigns its lease when the table service has been
+  /// unavailable for this long.
+  Duration resign_timeout = std::chrono::seconds(5);
+  std::size_t max_concurrent_moves = 8;
+  /// Approximate write rates in rows per second over all instances. Each
+  /// instance waits for a random time that grows with the number of instances.
+  /// The first limits claims of unowned groups, the second all deferrable
+  /// writes.
   double claims_per_second = 100;
   double other_rows_per_second = 30;
 };
 
-/// @brief Who this instance is.
+/// @brief Identity and settings of this instance.
 struct OwnershipOptions
 {
   InstanceId self;
   DataCentreId data_centre;
-  std::uint64_t process = 0; ///< Drawn at random when the process starts.
+  std::uint64_t process = 0; ///< Random; chosen when the process starts.
   OwnershipRules rules;
 };
 
-/// @brief An instance as the platform's list has it.
+/// @brief An entry of the platform's list of instances.
 struct InstanceMember
 {
   InstanceId id;
@@ -65,20 +69,21 @@
                           const InstanceMember&) = default;
 };
 
-/// @brief A row as it shall be; its `rev` is the one to replace, 0 for none.
+/// @brief The new content of a row. `rev` is the revision to replace; 0 creates
+/// the row.
 using RowPut = std::variant<LeaseRow, GroupRow>;
 
-/// @brief One transaction: all of it or nothing, at most 100 items. The rows
-/// that are put get the next rev.
+/// @brief One atomic transaction of at most 100 items. Each row that is put
+/// gets the next revision.
 struct WriteRows
 {
   std::uint64_t token = 0; ///< Unique within this process.
   std::vector<RowPut> puts;
-  std::vector<LeaseRow> deletes; ///< Only at this rev.
-  std::vector<LeaseRow> checks;  ///< At this rev; 0: absent.
+  std::vector<LeaseRow> deletes; ///< Conditional on the revision.
+  std::vector<LeaseRow> checks;  ///< Must have this revision; 0: absent.
 };
 
-/// @brief Reads all leases, and the groups: all, or those that are named.
+/// @brief Reads all leases, and either all groups or those listed.
 struct ReadRows
 {
   std::uint64_t token = 0;
@@ -86,16 +91,16 @@
   std::vector<GroupId> groups;
 };
 
-/// @brief What became of WriteRows.
+/// @brief Result of WriteRows.
 enum class WriteOutcome : std::uint8_t
 {
   kCommitted,
-  kConflict, ///< Nothing was written: a condition failed.
-  kUnknown,  ///< Written or not, also after asking again.
+  kConflict, ///< A condition failed; nothing was written.
+  kUnknown,  ///< May have been written; still unclear after a retry.
   kFailed,   ///< Nothing was written.
 };
 
-/// @brief What ReadRows found.
+/// @brief Result of ReadRows.
 struct RowsRead
 {
   std::uint64_t token = 0;
@@ -104,34 +109,34 @@
   std::vector<GroupRow> groups;
 };
 
-/// @brief Send to one instance.
+/// @brief Action: send a message to one instance.
 struct SendMessage
 {
   InstanceId to;
   OwnershipMessage message;
 };
 
-/// @brief Begin to admit work to a group.
+/// @brief Action: begin to admit work to a group.
 struct StartOwning
 {
   GroupId group;
   std::uint64_t epoch = 0;
   bool is_first = false;        ///< Never owned before: no earlier permits.
-  bool is_handed = false;       ///< `held` are all permits of earlier owners.
-  std::vector<HeldPermit> held; ///< Permits that are known to be out.
-  /// No earlier owner granted anything after this, by this instance's clock.
+  bool is_handed = false;       ///< `held` has all permits of earlier owners.
+  std::vector<HeldPermit> held; ///< Permits known to be outstanding.
+  /// No earlier owner granted a permit after this, by this instance's clock.
   Instant previous_end;
 };
 
-/// @brief Stop at once: somebody else may own it.
+/// @brief Action: stop admitting at once; another instance may own the group.
 struct StopOwning
 {
   GroupId group;
   std::uint64_t epoch = 0;
 };
 
-/// @brief The group moved: send HandedOver with the permits that are out, and
-/// drop the book.
+/// @brief Action: the group moved. Send HandedOver with the outstanding permits
+/// and discard the permit book.
 struct HandOverGroup
 {
   GroupRow row; ///< With its new owner and epoch.
@@ -145,12 +150,12 @@
                                      StopOwning,
                                      HandOverGroup>;
 
-/// @brief Previous owner to the next: the permits that are out.
+/// @brief Previous owner to the next: the outstanding permits.
 struct HandedOver
 {
   GroupRow row;
   std::vector<HeldPermit> held;
-  bool complete = false; ///< Nothing was reserved for unknown ones.
+  bool complete = false; ///< `held` has all permits; none are unknown.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -159,13 +164,13 @@
   }
 };
 
-/// @brief What an instance owns and witnesses. It never blocks and never reads
-/// a clock: feed it, call Tick() at least every 250 ms, and carry out the
-/// actions in their order.
+/// @brief State machine for the groups that an instance owns and the leases
+/// that it witnesses. It never blocks or reads a clock: pass it events, call
+/// Tick() at least every 250 ms, and carry out the actions in order.
 ///
-/// A lease is kept alive by either of two witnesses, in other data centres;
-/// only when both refuse it may the first of them take over, with no need of
-/// the table service. See docs/design/0040-ownership.md.
+/// Either of two witnesses, in other data centres, can keep a lease alive. Only
+/// when both refuse it may the first of them take over, without the table
+/// service. See docs/design/0040-ownership.md.
 class Ownership
 {
 public:
@@ -174,9 +179,9 @@
   Ownership& operator=(Ownership&&) noexcept;
   ~Ownership();
 
-  /// @brief The platform's list of instances, this one included or not.
+  /// @brief Sets the platform's list of instances, with or without this one.
   void SetMembers(std::span<const InstanceMember> aMembers, Instant aNow);
-  /// @brief All that needs an owner.
+  /// @brief Sets all groups that need an owner.
   void SetGroups(std::span<const GroupId> aGroups, Instant aNow);
   void OnMessage(const InstanceId& aFrom,
                  const OwnershipMessage& aMessage,
@@ -185,25 +190,25 @@
   void OnWritten(std::uint64_t aToken, WriteOutcome aOutcome, Instant aNow);
   void OnRead(const RowsRead& aRead, Instant aNow);
   void Tick(Instant aNow);
-  /// @brief Planned stop of this instance: hands everything over.
+  /// @brief Begins a planned stop of this instance: hands over all groups.
   void Leave(Instant aNow);
   [[nodiscard]] std::vector<OwnershipAction> TakeActions();
 
-  /// @return whether to admit work now. Ask before each grant.
+  /// @return whether work may be admitted now. Check before each grant.
   [[nodiscard]] bool MayAdmit(const GroupId& aGroup, Instant aNow) const;
   /// @return the epoch under which this instance owns the group.
   [[nodiscard]] std::optional<std::uint64_t> EpochOf(
     const GroupId& aGroup) const;
-  /// @return who seems to own it; a hint.
+  /// @return the probable owner; a hint.
   [[nodiscard]] std::optional<InstanceId> OwnerOf(const GroupId& aGroup) const;
   [[nodiscard]] std::vector<GroupId> Owned() const;
   /// @return when this instance must stop admitting, by its own clock.
   [[nodiscard]] Instant LeaseUntil() const;
-  /// @return this instance's lease as the table service has it.
+  /// @return this instance's lease as stored in the table service.
   [[nodiscard]] std::optional<LeaseRow> Lease() const;
-  /// @return whether all rows were read once.
+  /// @return whether the first full scan has completed.
   [[nodiscard]] bool IsReady() const;
-  /// @return after Leave(): nothing is owned any more.
+  /// @return whether, after Leave(), this instance owns nothing any more.
   [[nodiscard]] bool HasLeft() const;
 
 private:
--- a/include/jujubehead/core/ownership_messages.hpp
+++ b/include/jujubehead/core/ownership_messages.hpp
@@ -10,15 +10,16 @@
 #include "jujubehead/core/ids.hpp"           // for InstanceId
 #include "jujubehead/core/runtime_clock.hpp" // for Duration
 
-/// What instances tell each other about who owns what. Times are durations
-/// or marks of one's own clock: clocks of two instances are never compared.
+/// Messages between instances about group ownership. Times are durations or
+/// echoed values of the sender's clock: clocks of two instances are never
+/// compared.
 namespace jujubehead::core {
 
-/// What is owned as one: a target or a store, by its id.
+/// The unit of ownership: a target or a store, by its id.
 using GroupId = Id<struct GroupKind>;
 
-/// @brief One life of an instance, or of its lease. The high bits of the
-/// number are drawn when the process starts, the low ones count its leases: a
+/// @brief One process run of an instance, or one of its leases. The high bits
+/// of the number are random for each process, the low bits count its leases: a
 /// process that lost its lease opens another.
 struct Incarnation
 {
@@ -44,13 +45,13 @@
   }
 };
 
-/// @brief A group as the table service's row has it.
+/// @brief A group's row in the table service.
 struct GroupRow
 {
   GroupId group;
   Incarnation owner; ///< The lease under which it is owned.
   std::uint64_t epoch = 0;
-  std::uint64_t rev = 0; ///< Of the row; 0: there is none.
+  std::uint64_t rev = 0; ///< Revision of the row; 0: no row exists.
 
   friend bool operator==(const GroupRow&, const GroupRow&) = default;
 
@@ -61,15 +62,15 @@
   }
 };
 
-/// @brief A lease as the table service's row has it. While the row is there,
-/// groups that name it belong to its holder, or to whom its witnesses elected.
+/// @brief A lease's row in the table service. While the row exists, groups that
+/// refer to it belong to its holder or to the successor its witnesses elected.
 struct LeaseRow
 {
   Incarnation lease;
   std::vector<Incarnation> witnesses; ///< The first may take over.
-  /// Replaced, but a takeover that they began may be under way.
+  /// Replaced witnesses that may still have a takeover in progress.
   std::vector<Incarnation> former;
-  std::uint64_t rev = 0; ///< Of the row; 0: there is none.
+  std::uint64_t rev = 0; ///< Revision of the row; 0: no row exists.
 
   friend bool operator==(const LeaseRow&, const LeaseRow&) = default;
 
@@ -80,10 +81,10 @@
   }
 };
 
-/// @brief What is owned under a lease, as its witnesses keep it.
+/// @brief The groups owned under a lease, as replicated to its witnesses.
 struct OwnedList
 {
-  std::uint64_t version = 0; ///< Rises with every change; 0: none yet.
+  std::uint64_t version = 0; ///< Incremented by each change; 0: no list yet.
   std::vector<GroupRow> groups;
 
   friend bool operator==(const OwnedList&, const OwnedList&) = default;
@@ -95,13 +96,13 @@
   }
 };
 
-/// @brief Holder to witness: I am alive.
+/// @brief Holder to witness: renews the lease.
 struct LeaseRenew
 {
   LeaseRow lease;
-  std::uint64_t mark = 0;      ///< The holder's clock; echoed.
-  std::uint64_t version = 0;   ///< Of the list now.
-  std::vector<OwnedList> list; ///< One, when the witness has an older one.
+  std::uint64_t mark = 0;      ///< The holder's clock; echoed in the ack.
+  std::uint64_t version = 0;   ///< Current version of the list.
+  std::vector<OwnedList> list; ///< One element if the witness's is older.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -110,15 +111,15 @@
   }
 };
 
-/// @brief Witness to holder.
+/// @brief Witness to holder: reply to LeaseRenew.
 struct LeaseAck
 {
   Incarnation lease;
   Incarnation witness;
-  bool granted = false; ///< False: this witness will never grant it again.
+  bool granted = false; ///< False: this witness will never renew it again.
   std::uint64_t mark = 0;
-  std::uint64_t config = 0;  ///< The LeaseRow::rev that it goes by.
-  std::uint64_t version = 0; ///< Of the list that it keeps.
+  std::uint64_t config = 0;  ///< The latest LeaseRow::rev it knows.
+  std::uint64_t version = 0; ///< Version of its copy of the list.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -132,7 +133,7 @@
   }
 };
 
-/// @brief Holder to witness: I stop now; do not wait for my lease to lapse.
+/// @brief Holder to witness: ends the lease at once, before it expires.
 struct LeaseResign
 {
   Incarnation lease;
@@ -144,14 +145,14 @@
   }
 };
 
-/// @brief To end somebody's lease.
+/// @brief Candidate to witnesses and holder: asks to end a lease.
 struct VoteRequest
 {
   Incarnation lease;
   Incarnation candidate;
-  /// True: from its first witness to the others, to take over at once. Only
-  /// one candidate gets that vote. False: the candidate needs the table
-  /// service's word as well, which decides between several.
+  /// True: the first witness asks the others, to take over at once; only one
+  /// candidate can get this vote. False: the candidate must also delete the row
+  /// in the table service, which decides between several candidates.
   bool election = false;
 
   template<typename Self>
@@ -161,23 +162,23 @@
   }
 };
 
-/// @brief How a member of a lease answers a VoteRequest.
+/// @brief Reply of a lease's holder or witness to a VoteRequest.
 enum class Vote : std::uint8_t
 {
-  kGranted, ///< And this member never renews that lease again.
-  kAlive,   ///< The lease has not lapsed here.
-  kOther,   ///< `voted_for` took over, or may have.
-  kGone,    ///< This instance held that lease and does not any more.
+  kGranted,        ///< The voter never renews this lease again.
+  kAlive,          ///< The lease has not expired at the voter.
+  kGrantedToOther, ///< `voted_for` took over or may have done so.
+  kReleased,       ///< The voter was the holder and no longer holds it.
 };
 
-/// @brief The answer to a VoteRequest.
+/// @brief Reply to a VoteRequest.
 struct VoteReply
 {
   Incarnation lease;
   Incarnation voter;
   Vote vote = Vote::kAlive;
   Incarnation voted_for;
-  Duration lapsed_since{}; ///< How long ago the lease lapsed here.
+  Duration lapsed_since{}; ///< Time since the lease expired at the voter.
   std::uint64_t config = 0;
   OwnedList list;
 
@@ -194,8 +195,9 @@
   }
 };
 
-/// @brief To everybody: what changed hands. Hints for finding owners; the
-/// leases here tell who can own, and which process an instance runs.
+/// @brief Broadcast of ownership changes. The groups are hints for finding
+/// owners; the leases show which instances can own groups, and which process an
+/// instance runs.
 struct OwnersAnnounce
 {
   std::vector<GroupRow> groups;
@@ -209,8 +211,8 @@
   }
 };
 
-/// @brief A starting instance to a peer, when the table service is away: tell
-/// me all owners. Answered by OwnersAnnounce.
+/// @brief Starting instance to a peer, when the table service is unavailable:
+/// requests all owners. The reply is OwnersAnnounce.
 struct OwnersAsk
 {
   template<typename Self>
--- a/include/jujubehead/core/remote_clock.hpp
+++ b/include/jujubehead/core/remote_clock.hpp
@@ -8,53 +8,56 @@
 
 namespace jujubehead::core {
 
-/// What a steady clock reads, in ms since an origin of its own.
+/// A reading of a steady clock, in ms since that clock's own origin.
 using RemoteMs = std::int64_t;
 
-/// @brief What the steady clock of another machine reads at the least and at
-/// the most, by its answers.
+/// @brief Lower and upper bounds on the reading of another machine's steady
+/// clock.
 ///
-/// An answer was made between the question and its arrival, so each reading
-/// gives two bounds; the best ones hold, and grow wider with their age, as
-/// steady clocks drift. Instances that ask the same clock can tell each other
-/// by it when something was, over their own ends: their own clocks have no
+/// A reading is taken between sending the request and receiving the reply, so
+/// each gives two bounds; the tightest are kept, and widen with age because
+/// steady clocks drift. Instances that query the same clock can use it to
+/// exchange points in time, even across restarts: their own clocks have no
 /// common origin.
 class RemoteClock
 {
 public:
-  /// @param aAsked when the question was sent.
-  /// @param aHeard when the answer came.
-  void OnReading(RemoteMs aReading, Instant aAsked, Instant aHeard);
-  /// @brief As OnReading(), by someone who knows it within bounds only.
-  void OnBounds(RemoteMs aLeast,
-                RemoteMs aMost,
-                Instant aAsked,
-                Instant aHeard);
-
-  /// @return what it reads at an instant; nothing before the first reading.
+  /// @param aSentAt when the request was sent.
+  /// @param aReceivedAt when the reply was received.
+  void OnReading(RemoteMs aReading, Instant aSentAt, Instant aReceivedAt);
+  /// @brief As OnReading(), from a source that knows the reading only within
+  /// bounds.
+  void OnBounds(RemoteMs aLower,
+                RemoteMs aUpper,
+                Instant aSentAt,
+                Instant aReceivedAt);
+
+  /// @return a bound on its reading at an instant; nullopt before the first
+  /// reading.
   [[nodiscard]] std::optional<RemoteMs> LeastAt(Instant aWhen) const;
   [[nodiscard]] std::optional<RemoteMs> MostAt(Instant aWhen) const;
-  /// @return when it read that, at the latest and at the earliest.
+  /// @return a bound on when it had that reading; nullopt before the first
+  /// reading.
   [[nodiscard]] std::optional<Instant> LatestOf(RemoteMs aReading,
                                                 Instant aNow) const;
   [[nodiscard]] std::optional<Instant> EarliestOf(RemoteMs aReading,
                                                   Instant aNow) const;
 
 private:
-  /// A bound of its reading when the process's clock read 0.
+  /// A bound on its reading at instant 0 of this process's clock.
   struct Bound
   {
     RemoteMs offset = 0;
-    Instant since{}; ///< It grows wider from then on.
+    Instant since{}; ///< The bound widens from here.
   };
 
-  /// @return the bounds as wide as they are at an instant.
-  [[nodiscard]] RemoteMs LeastOffset(Instant aWhen) const;
-  [[nodiscard]] RemoteMs MostOffset(Instant aWhen) const;
+  /// @return the bounds, widened by the drift up to an instant.
+  [[nodiscard]] RemoteMs LowerOffset(Instant aWhen) const;
+  [[nodiscard]] RemoteMs UpperOffset(Instant aWhen) const;
 
   bool m_is_known = false;
-  Bound m_least;
-  Bound m_most;
+  Bound m_lower;
+  Bound m_upper;
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/retry_budget.hpp
+++ b/include/jujubehead/core/retry_budget.hpp
@@ -8,15 +8,15 @@
 /// @brief Settings of a retry budget.
 struct RetryBudgetOptions
 {
-  double per_request = 0.1; ///< Retries that each first attempt earns.
-  double burst = 10;        ///< Most retries saved up.
+  double per_request = 0.1; ///< Retries earned by each first attempt.
+  double burst = 10;        ///< Maximum accumulated retries.
 };
 
-/// @brief Bounds retries to a share of the requests, so that retries never
-/// multiply the load on targets that are slow because of load.
+/// @brief Limits retries to a share of the requests, so that retries never
+/// multiply the load on overloaded targets.
 ///
-/// Each instance keeps one. As every instance holds to the share, so does the
-/// whole system.
+/// Each instance has its own budget. As every instance keeps within the share,
+/// so does the whole system.
 ///
 /// @code
 /// RetryBudget budget(RetryBudgetOptions{});
@@ -28,10 +28,9 @@
 public:
   explicit RetryBudget(RetryBudgetOptions aOptions);
 
-  /// @brief A first attempt was made.
+  /// @brief Records a first attempt.
   void OnRequest();
-  /// @return whether one more attempt may be made now; takes it from the
-  /// budget.
+  /// @return whether a retry is allowed now; if so, deducts it from the budget.
   [[nodiscard]] bool TryRetry();
 
   [[nodiscard]] std::uint64_t Retries() const { return m_retries; }
@@ -39,7 +38,7 @@
 
 private:
   RetryBudgetOptions m_options;
-  double m_saved;
+  double m_balance;
   std::uint64_t m_retries = 0;
   std::uint64_t m_denied = 0;
 };
--- a/include/jujubehead/core/runtime_clock.hpp
+++ b/include/jujubehead/core/runtime_clock.hpp
@@ -5,13 +5,13 @@
 
 namespace jujubehead::core {
 
-/// @brief The clock of the whole process. Monotonic, in microseconds.
+/// @brief The process-wide monotonic clock, in microseconds.
 ///
-/// It follows the clock of the time since boot, which counts while the machine
-/// is suspended, so that leases and deadlines do. A test may pause it; a paused
-/// clock moves
-/// only by Advance(). Timers of the net layer run on it too. The core never
-/// reads it: time comes into the core as an `Instant` argument.
+/// It follows CLOCK_BOOTTIME, which keeps counting while the machine is
+/// suspended, so that leases and deadlines do too. A test may pause it; a
+/// paused clock moves only by Advance(). Timers of the net layer also use it.
+/// The core never reads it: time is passed into the core as an `Instant`
+/// argument.
 ///
 /// @code
 /// RuntimeClock::Pause();
@@ -27,15 +27,15 @@
   using time_point = std::chrono::time_point<RuntimeClock>;
   static constexpr bool is_steady = true;
 
-  /// @return the present time; safe from any thread.
+  /// @return the current time. Thread-safe.
   static time_point now() noexcept;
-  /// @return whether the clock is paused; safe from any thread.
+  /// @return whether the clock is paused. Thread-safe.
   static bool IsPaused() noexcept;
-  /// @brief Stops the clock at its present reading.
+  /// @brief Stops the clock at its current reading.
   static void Pause() noexcept;
   /// @brief Moves a paused clock forward.
   static void Advance(duration aStep) noexcept;
-  /// @brief Lets the clock run again from where it stands.
+  /// @brief Resumes the clock from its current reading.
   static void Resume() noexcept;
 };
 
--- a/src/jujubehead/core/fair_queue.cpp
+++ b/src/jujubehead/core/fair_queue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration kFirstGuess = std::chrono::seconds(1);
+constexpr Duration kInitialEstimate = std::chrono::seconds(1);
 
 } // namespace
 
@@ -36,7 +36,7 @@
     }
     while (!account.waiting.empty()) {
       removed.push_back(account.waiting.begin()->second);
-      Forget(account, account.waiting.begin());
+      Erase(account, account.waiting.begin());
     }
     it = account.running == 0 ? m_accounts.erase(it) : std::next(it);
   }
@@ -79,8 +79,8 @@
 }
 
 void
-FairQueue::Forget(Account& aAccount,
-                  std::map<Order, WaitingRequest>::iterator aAt)
+FairQueue::Erase(Account& aAccount,
+                 std::map<Order, WaitingRequest>::iterator aAt)
 {
   m_positions.erase(aAt->second.request.request);
   aAccount.waiting.erase(aAt);
@@ -95,7 +95,7 @@
     return false;
   }
   Account& account = m_accounts.at(found->second.account);
-  Forget(account, account.waiting.find(found->second.order));
+  Erase(account, account.waiting.find(found->second.order));
   return true;
 }
 
@@ -121,7 +121,7 @@
 }
 
 FairQueue::Account*
-FairQueue::Next(Instant aHeardSince)
+FairQueue::SelectAccount(Instant aActiveSince)
 {
   Account* best = nullptr;
   for (auto& [id, account] : m_accounts) {
@@ -129,17 +129,18 @@
       continue;
     }
     if (account.running >= account.share.max_running) {
-      // Held back by its own limit: it must not save up credit meanwhile.
+      // At its own limit: it must not accumulate credit in the meantime.
       account.finish = std::max(account.finish, m_virtual_time);
       continue;
     }
-    const bool heard =
+    const bool has_active_holder =
       std::any_of(account.waiting.begin(),
                   account.waiting.end(),
-                  [aHeardSince](const auto& aEntry) {
-                    return aEntry.second.heard_at >= aHeardSince;
+                  [aActiveSince](const auto& aEntry) {
+                    return aEntry.second.heard_at >= aActiveSince;
                   });
-    if (heard && (best == nullptr || account.finish < best->finish)) {
+    if (has_active_holder &&
+        (best == nullptr || account.finish < best->finish)) {
       best = &account;
     }
   }
@@ -147,20 +148,20 @@
 }
 
 std::optional<ChosenRequest>
-FairQueue::Pop(Instant aHeardSince)
+FairQueue::Pop(Instant aActiveSince)
 {
-  Account* account = Next(aHeardSince);
+  Account* account = SelectAccount(aActiveSince);
   if (account == nullptr) {
     return std::nullopt;
   }
   const auto at = std::find_if(account->waiting.begin(),
                                account->waiting.end(),
-                               [aHeardSince](const auto& aEntry) {
-                                 return aEntry.second.heard_at >= aHeardSince;
+                               [aActiveSince](const auto& aEntry) {
+                                 return aEntry.second.heard_at >= aActiveSince;
                                });
   ChosenRequest chosen{ at->second, {} };
   chosen.charged = Estimate(*account, chosen.waiting.request.cost_tokens);
-  Forget(*account, at);
+  Erase(*account, at);
   m_virtual_time = std::max(m_virtual_time, account->finish);
   account->finish +=
     ServiceEstimate::Seconds(chosen.charged) / account->share.weight;
@@ -169,16 +170,17 @@
 }
 
 std::vector<WaitingRequest>
-FairQueue::TakeHopeless(Instant aNow, Instant aSilentBefore)
+FairQueue::TakeHopeless(Instant aNow, Instant aInactiveBefore)
 {
   std::vector<WaitingRequest> taken;
   for (auto& [id, account] : m_accounts) {
     for (auto it = account.waiting.begin(); it != account.waiting.end();) {
       const auto at = it++;
       const WaitingRequest& waiting = at->second;
-      if (waiting.request.deadline < aNow || waiting.heard_at < aSilentBefore) {
+      if (waiting.request.deadline < aNow ||
+          waiting.heard_at < aInactiveBefore) {
         taken.push_back(waiting);
-        Forget(account, at);
+        Erase(account, at);
       }
     }
   }
@@ -234,7 +236,7 @@
   if (aAccount.service.IsKnown()) {
     return aAccount.service.For(aTokens);
   }
-  return m_service.IsKnown() ? m_service.For(aTokens) : kFirstGuess;
+  return m_service.IsKnown() ? m_service.For(aTokens) : kInitialEstimate;
 }
 
 std::uint32_t
@@ -261,8 +263,8 @@
 Duration
 FairQueue::ExpectedWait(const AccountId& aAccount,
                         std::uint32_t aAhead,
-                        std::uint32_t aPlaces,
-                        std::uint32_t aFree) const
+                        std::uint32_t aSlots,
+                        std::uint32_t aFreeSlots) const
 {
   const auto found = m_accounts.find(aAccount);
   if (found == m_accounts.end()) {
@@ -270,18 +272,18 @@
   }
   const Account& account = found->second;
   const bool below = account.running + aAhead < account.share.max_running;
-  if (below && aAhead + m_size < aFree) {
+  if (below && aAhead + m_size < aFreeSlots) {
     return {};
   }
   const double share =
-    aPlaces * static_cast<double>(account.share.weight) / BusyWeight(account);
+    aSlots * static_cast<double>(account.share.weight) / BusyWeight(account);
   const double most = std::max<double>(account.share.max_running, 1);
-  const double places = std::clamp(share, 0.1, most);
+  const double slots = std::clamp(share, 0.1, most);
   const Duration service = account.service.IsKnown() ? account.service.Mean()
                            : m_service.IsKnown()     ? m_service.Mean()
                                                      : Duration{};
   const double seconds =
-    ServiceEstimate::Seconds(service) * (aAhead + 1) / places;
+    ServiceEstimate::Seconds(service) * (aAhead + 1) / slots;
   return std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(seconds));
 }
--- a/src/jujubehead/core/fair_queue.hpp
+++ b/src/jujubehead/core/fair_queue.hpp
@@ -14,14 +14,14 @@
 
 namespace jujubehead::core {
 
-/// @brief A request that waits, and when it was last heard of.
+/// @brief A waiting request, and when its holder last sent it.
 struct WaitingRequest
 {
   PermitRequest request;
   Instant heard_at;
 };
 
-/// @brief A request that was chosen to run, with the time it was charged.
+/// @brief A request selected to run, and the run time charged for it.
 struct ChosenRequest
 {
   WaitingRequest waiting;
@@ -33,38 +33,41 @@
 {
 public:
   void SetShare(AccountShare aShare);
-  /// @return the requests of accounts that have no share any more.
+  /// @return the removed requests of accounts that no longer have a share.
   std::vector<WaitingRequest> SetShares(std::span<const AccountShare> aShares);
   [[nodiscard]] const AccountShare* Share(const AccountId& aAccount) const;
 
   [[nodiscard]] WaitingRequest* Find(const RequestId& aRequest);
   void Push(WaitingRequest aWaiting);
   bool Remove(const RequestId& aRequest);
-  /// @return what waits, removed.
+  /// @brief Removes all waiting requests and returns them.
   std::vector<WaitingRequest> Clear();
-  /// @return the next to run among holders heard of since `aHeardSince`.
-  std::optional<ChosenRequest> Pop(Instant aHeardSince);
-  /// @return what is removed because its deadline is over or its holder fell
-  /// silent before `aSilentBefore`.
-  std::vector<WaitingRequest> TakeHopeless(Instant aNow, Instant aSilentBefore);
-
-  /// @brief A run ended: corrects what its account was charged.
+  /// @return the next request to run, of those last sent at or after
+  /// `aActiveSince`.
+  std::optional<ChosenRequest> Pop(Instant aActiveSince);
+  /// @brief Removes and returns requests whose deadline has passed or that
+  /// their holder last sent before `aInactiveBefore`.
+  std::vector<WaitingRequest> TakeHopeless(Instant aNow,
+                                           Instant aInactiveBefore);
+
+  /// @brief Ends a run and corrects its account's charge to the time used.
   void Settle(const AccountId& aAccount, Duration aCharged, Duration aUsed);
-  /// @brief A run of an earlier owner goes on under this account.
+  /// @brief Counts a continuing run that an earlier owner permitted.
   void CountRunning(const AccountId& aAccount);
-  /// @brief A run whose length is unknown ended.
+  /// @brief Ends a run of unknown duration.
   void CountEnded(const AccountId& aAccount);
-  /// @brief Learns how long a run occupies a place.
+  /// @brief Adds a run to the service time estimates.
   void Learn(const AccountId& aAccount, std::uint32_t aTokens, Duration aUsed);
 
   [[nodiscard]] std::uint32_t Size() const { return m_size; }
   [[nodiscard]] std::uint32_t SizeOf(const AccountId& aAccount) const;
-  /// @brief Expected wait of one more request behind `aAhead` of its account.
+  /// @brief Expected wait of another request behind `aAhead` requests of its
+  /// account.
   [[nodiscard]] Duration ExpectedWait(const AccountId& aAccount,
                                       std::uint32_t aAhead,
-                                      std::uint32_t aPlaces,
-                                      std::uint32_t aFree) const;
-  /// @return how many of the account's requests go before this one.
+                                      std::uint32_t aSlots,
+                                      std::uint32_t aFreeSlots) const;
+  /// @return the number of the account's requests that precede this one.
   [[nodiscard]] std::uint32_t Ahead(const PermitRequest& aRequest) const;
 
 private:
@@ -76,7 +79,7 @@
     AccountShare share;
     std::map<Order, WaitingRequest> waiting;
     std::uint32_t running = 0;
-    double finish = 0; ///< Virtual seconds.
+    double finish = 0; ///< Virtual finish time, in seconds.
     ServiceEstimate service;
   };
 
@@ -87,11 +90,11 @@
   };
 
   [[nodiscard]] static bool IsBusy(const Account& aAccount);
-  [[nodiscard]] Account* Next(Instant aHeardSince);
+  [[nodiscard]] Account* SelectAccount(Instant aActiveSince);
   [[nodiscard]] Duration Estimate(const Account& aAccount,
                                   std::uint32_t aTokens) const;
   [[nodiscard]] double BusyWeight(const Account& aWith) const;
-  void Forget(Account& aAccount, std::map<Order, WaitingRequest>::iterator aAt);
+  void Erase(Account& aAccount, std::map<Order, WaitingRequest>::iterator aAt);
 
   std::map<AccountId, Account> m_accounts;
   std::unordered_map<RequestId, Position> m_positions;
--- a/src/jujubehead/core/lease_holder.cpp
+++ b/src/jujubehead/core/lease_holder.cpp
@@ -30,7 +30,7 @@
   for (const Incarnation& witness : m_row.witnesses) {
     Slot slot;
     slot.witness = witness;
-    slot.heard_at = aNow;
+    slot.last_reply_at = aNow;
     m_slots.push_back(std::move(slot));
   }
 }
@@ -63,7 +63,7 @@
     Slot slot;
     slot.witness = witness;
     slot.counts = aAllCount;
-    slot.heard_at = aNow;
+    slot.last_reply_at = aNow;
     slots.push_back(std::move(slot));
   }
   m_row = aRow;
@@ -116,7 +116,7 @@
   if (aNow < m_renew_at) {
     return messages;
   }
-  m_renew_at = aNow + m_rules.renew_every;
+  m_renew_at = aNow + m_rules.renew_interval;
   for (const Slot& slot : m_slots) {
     if (!slot.refused && !slot.replaced) {
       messages.push_back({ slot.witness.instance, Renewal(slot, aNow) });
@@ -135,7 +135,7 @@
     if (slot.witness.instance != aAck.witness.instance) {
       continue;
     }
-    slot.heard_at = aNow;
+    slot.last_reply_at = aNow;
     if (slot.witness != aAck.witness) {
       slot.replaced = true;
     } else if (!aAck.granted) {
@@ -185,7 +185,7 @@
 {
   const Slot* slot = Find(aWitness);
   return slot == nullptr || slot->refused || slot->replaced ||
-         aNow >= slot->heard_at + m_rules.witness_lost;
+         aNow >= slot->last_reply_at + m_rules.witness_timeout;
 }
 
 bool
--- a/src/jujubehead/core/lease_holder.hpp
+++ b/src/jujubehead/core/lease_holder.hpp
@@ -9,9 +9,9 @@
 
 namespace jujubehead::core {
 
-/// @brief This instance's own lease: renewed with its witnesses, valid while
-/// any of them acknowledged it of late. Without witnesses it is always valid:
-/// then nobody can take over without the table service.
+/// @brief This instance's own lease. It is renewed with its witnesses and valid
+/// while any of them has acknowledged it recently. Without witnesses it is
+/// always valid, as then no instance can take over without the table service.
 class LeaseHolder
 {
 public:
@@ -19,31 +19,36 @@
 
   [[nodiscard]] const LeaseRow& Row() const { return m_row; }
   [[nodiscard]] Instant Until() const;
-  /// @brief The row was written with other witnesses.
-  /// @param aAllCount no earlier witness can take over any more, so that new
-  /// ones need not wait until one that stayed knows the row.
+  /// @brief Applies a written row with changed witnesses.
+  /// @param aAllCount whether acks of new witnesses count at once, because no
+  /// earlier witness can take over any more. Otherwise they count once a
+  /// witness that stayed has confirmed the row.
   void Apply(const LeaseRow& aRow, bool aAllCount, Instant aNow);
-  /// @brief What is owned changed.
+  /// @brief Sets the groups owned under the lease.
   void SetGroups(std::vector<GroupRow> aGroups);
   [[nodiscard]] std::uint64_t Version() const { return m_list.version; }
-  /// @return whether a takeover by the witnesses would know this version.
+  /// @return whether a takeover by the witnesses would use at least this
+  /// version of the list.
   [[nodiscard]] bool IsKnown(std::uint64_t aVersion) const;
-  /// @return whether that witness keeps the list as it is now.
+  /// @return whether that witness has the current list.
   [[nodiscard]] bool IsUpToDate(const Incarnation& aWitness) const;
-  /// @return whether a witness of the row before knows the row as it is now.
+  /// @return whether a witness of the previous row has confirmed the current
+  /// one.
   [[nodiscard]] bool IsConfirmed() const;
-  /// @return renewals that are due, at once after a change of the list.
+  /// @return the renewals that are due. A change of the list makes them due at
+  /// once.
   std::vector<SendMessage> Renew(Instant aNow);
   void OnAck(const LeaseAck& aAck, Instant aNow);
 
-  /// @return whether every witness refused for good.
+  /// @return whether every witness has permanently refused the lease.
   [[nodiscard]] bool IsRefused() const;
-  /// @return whether that witness will not renew any more, or did not answer
-  /// for long.
+  /// @return whether that witness will not renew any more, or has not replied
+  /// for OwnershipRules::witness_timeout.
   [[nodiscard]] bool IsLost(const Incarnation& aWitness, Instant aNow) const;
   /// @return whether that witness is known to have restarted.
   [[nodiscard]] bool IsReplaced(const Incarnation& aWitness) const;
-  /// @return whether that witness acknowledged of late, counting or not.
+  /// @return whether that witness has acknowledged recently, whether or not its
+  /// acks count yet.
   [[nodiscard]] bool IsAcking(const Incarnation& aWitness, Instant aNow) const;
   [[nodiscard]] bool IsRefusedBy(const Incarnation& aWitness) const;
 
@@ -51,11 +56,11 @@
   struct Slot
   {
     Incarnation witness;
-    bool counts = true; ///< False: new, and the other does not know of it yet.
+    bool counts = true; ///< False: new, not confirmed by another witness.
     bool refused = false;
     bool replaced = false;
-    std::optional<Instant> acked; ///< Sending time of the renewal.
-    Instant heard_at;
+    std::optional<Instant> acked; ///< Send time of the acknowledged renewal.
+    Instant last_reply_at;
     std::uint64_t config = 0;
     std::uint64_t version = 0;
   };
--- a/src/jujubehead/core/lease_reaper.cpp
+++ b/src/jujubehead/core/lease_reaper.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr Duration kAskEvery = std::chrono::seconds(1);
+constexpr Duration kRequestInterval = std::chrono::seconds(1);
 
-/// Who got a vote, perhaps under a row before this one.
+/// Candidates that got a vote, possibly under an earlier version of the row.
 std::vector<Incarnation>
-Elected(const std::map<InstanceId, VoteReply>& aReplies)
+ElectedCandidates(const std::map<InstanceId, VoteReply>& aReplies)
 {
   std::vector<Incarnation> elected;
   for (const auto& [instance, reply] : aReplies) {
-    if (reply.vote == Vote::kOther) {
+    if (reply.vote == Vote::kGrantedToOther) {
       elected.push_back(reply.voted_for);
     }
   }
@@ -22,7 +22,7 @@
 }
 
 std::vector<Incarnation>
-Witnesses(const LeaseRow& aRow)
+AllWitnesses(const LeaseRow& aRow)
 {
   std::vector<Incarnation> all = aRow.witnesses;
   all.insert(all.end(), aRow.former.begin(), aRow.former.end());
@@ -32,24 +32,24 @@
 } // namespace
 
 std::vector<SendMessage>
-LeaseReaper::Pursue(const LeaseRow& aRow, Instant aNow)
+LeaseReaper::RequestVotes(const LeaseRow& aRow, Instant aNow)
 {
-  Case& pursued = m_cases[aRow.lease];
-  if (pursued.row.rev != aRow.rev) {
-    pursued.replies.clear();
+  Poll& poll = m_polls[aRow.lease];
+  if (poll.row.rev != aRow.rev) {
+    poll.replies.clear();
   }
-  pursued.row = aRow;
+  poll.row = aRow;
   std::vector<SendMessage> messages;
-  if (pursued.asked_at && aNow < *pursued.asked_at + kAskEvery) {
+  if (poll.requested_at && aNow < *poll.requested_at + kRequestInterval) {
     return messages;
   }
-  pursued.asked_at = aNow;
+  poll.requested_at = aNow;
   const VoteRequest request{ aRow.lease, m_self, false };
   messages.push_back({ aRow.lease.instance, request });
-  for (const Incarnation& witness : Witnesses(aRow)) {
+  for (const Incarnation& witness : AllWitnesses(aRow)) {
     messages.push_back({ witness.instance, request });
   }
-  for (const Incarnation& elected : Elected(pursued.replies)) {
+  for (const Incarnation& elected : ElectedCandidates(poll.replies)) {
     messages.push_back({ elected.instance, request });
   }
   return messages;
@@ -58,8 +58,8 @@
 void
 LeaseReaper::OnVoteReply(const VoteReply& aReply)
 {
-  const auto found = m_cases.find(aReply.lease);
-  if (found != m_cases.end()) {
+  const auto found = m_polls.find(aReply.lease);
+  if (found != m_polls.end()) {
     found->second.replies.insert_or_assign(aReply.voter.instance, aReply);
   }
 }
@@ -68,8 +68,8 @@
 LeaseReaper::HasGranted(const Incarnation& aLease,
                         const Incarnation& aWitness) const
 {
-  const auto found = m_cases.find(aLease);
-  if (found == m_cases.end()) {
+  const auto found = m_polls.find(aLease);
+  if (found == m_polls.end()) {
     return false;
   }
   const auto reply = found->second.replies.find(aWitness.instance);
@@ -81,87 +81,87 @@
 void
 LeaseReaper::Retain(const std::set<Incarnation>& aSuspects)
 {
-  std::erase_if(m_cases, [&aSuspects](const auto& aEntry) {
+  std::erase_if(m_polls, [&aSuspects](const auto& aEntry) {
     return !aSuspects.contains(aEntry.first);
   });
 }
 
 bool
-LeaseReaper::IsGone(const Case& aCase,
+LeaseReaper::IsGone(const Poll& aPoll,
                     const Incarnation& aMember,
-                    const Evidence& aEvidence)
+                    const Context& aContext)
 {
-  const auto reply = aCase.replies.find(aMember.instance);
-  if (reply != aCase.replies.end()) {
+  const auto reply = aPoll.replies.find(aMember.instance);
+  if (reply != aPoll.replies.end()) {
     return !reply->second.voter.IsSameProcess(aMember);
   }
-  return aEvidence.watch.IsGone(aMember.instance, aEvidence.now);
+  return aContext.watch.IsGone(aMember.instance, aContext.now);
 }
 
 bool
-LeaseReaper::IsAccounted(const Case& aCase,
-                         const Incarnation& aMember,
-                         const Evidence& aEvidence)
+LeaseReaper::IsFenced(const Poll& aPoll,
+                      const Incarnation& aMember,
+                      const Context& aContext)
 {
-  if (IsGone(aCase, aMember, aEvidence)) {
+  if (IsGone(aPoll, aMember, aContext)) {
     return true;
   }
-  const auto reply = aCase.replies.find(aMember.instance);
-  if (reply == aCase.replies.end()) {
+  const auto reply = aPoll.replies.find(aMember.instance);
+  if (reply == aPoll.replies.end()) {
     return false;
   }
-  const VoteReply& said = reply->second;
-  if (said.vote != Vote::kOther) {
-    return said.vote != Vote::kAlive;
+  const VoteReply& answer = reply->second;
+  if (answer.vote != Vote::kGrantedToOther) {
+    return answer.vote != Vote::kAlive;
   }
-  if (said.voted_for.IsSameProcess(aMember)) {
-    // It took over, under a lease that may be over too.
-    return said.voted_for != aMember &&
-           aEvidence.map.Lease(said.voted_for) == nullptr;
+  if (answer.voted_for.IsSameProcess(aMember)) {
+    // It took over under a lease that may have ended as well.
+    return answer.voted_for != aMember &&
+           aContext.map.Lease(answer.voted_for) == nullptr;
   }
-  // Who took over speaks for itself.
-  return IsAccounted(aCase, said.voted_for, aEvidence);
+  // The instance that took over is judged by its own reply.
+  return IsFenced(aPoll, answer.voted_for, aContext);
 }
 
 bool
-LeaseReaper::Collect(const Incarnation& aLease,
-                     const Evidence& aEvidence,
-                     std::map<Incarnation, LeaseRow>& aSet) const
+LeaseReaper::CollectDeletable(const Incarnation& aLease,
+                              const Context& aContext,
+                              std::map<Incarnation, LeaseRow>& aDeletable) const
 {
-  if (aSet.contains(aLease)) {
+  if (aDeletable.contains(aLease)) {
     return true;
   }
-  const auto found = m_cases.find(aLease);
-  if (found == m_cases.end()) {
+  const auto found = m_polls.find(aLease);
+  if (found == m_polls.end()) {
     return false;
   }
-  const Case& pursued = found->second;
-  const auto accounted = [&](const Incarnation& aMember) {
-    return IsAccounted(pursued, aMember, aEvidence);
+  const Poll& poll = found->second;
+  const auto is_fenced = [&](const Incarnation& aMember) {
+    return IsFenced(poll, aMember, aContext);
   };
-  auto witnesses = Witnesses(pursued.row);
-  const auto elected = Elected(pursued.replies);
+  auto witnesses = AllWitnesses(poll.row);
+  const auto elected = ElectedCandidates(poll.replies);
   witnesses.insert(witnesses.end(), elected.begin(), elected.end());
-  if (!accounted(aLease) ||
-      !std::all_of(witnesses.begin(), witnesses.end(), accounted)) {
+  if (!is_fenced(aLease) ||
+      !std::all_of(witnesses.begin(), witnesses.end(), is_fenced)) {
     return false;
   }
-  aSet.emplace(aLease, pursued.row);
+  aDeletable.emplace(aLease, poll.row);
   return std::all_of(
     witnesses.begin(), witnesses.end(), [&](const Incarnation& aWitness) {
-      return !IsGone(pursued, aWitness, aEvidence) ||
-             CollectOf(aWitness, aEvidence, aSet);
+      return !IsGone(poll, aWitness, aContext) ||
+             CollectLeasesOf(aWitness, aContext, aDeletable);
     });
 }
 
 bool
-LeaseReaper::CollectOf(const Incarnation& aProcess,
-                       const Evidence& aEvidence,
-                       std::map<Incarnation, LeaseRow>& aSet) const
+LeaseReaper::CollectLeasesOf(const Incarnation& aProcess,
+                             const Context& aContext,
+                             std::map<Incarnation, LeaseRow>& aDeletable) const
 {
-  for (const LeaseRow& row : aEvidence.map.LeasesOf(aProcess.instance)) {
+  for (const LeaseRow& row : aContext.map.LeasesOf(aProcess.instance)) {
     if (row.lease.IsSameProcess(aProcess) &&
-        !Collect(row.lease, aEvidence, aSet)) {
+        !CollectDeletable(row.lease, aContext, aDeletable)) {
       return false;
     }
   }
@@ -169,14 +169,14 @@
 }
 
 std::vector<LeaseRow>
-LeaseReaper::Endable(const Incarnation& aLease,
-                     const OwnerMap& aMap,
-                     MemberWatch& aWatch,
-                     Instant aNow) const
+LeaseReaper::FindDeletable(const Incarnation& aLease,
+                           const OwnerMap& aMap,
+                           MemberWatch& aWatch,
+                           Instant aNow) const
 {
   std::map<Incarnation, LeaseRow> set;
   std::vector<LeaseRow> rows;
-  if (Collect(aLease, { aMap, aWatch, aNow }, set)) {
+  if (CollectDeletable(aLease, { aMap, aWatch, aNow }, set)) {
     for (const auto& [lease, row] : set) {
       rows.push_back(row);
     }
--- a/src/jujubehead/core/lease_reaper.hpp
+++ b/src/jujubehead/core/lease_reaper.hpp
@@ -11,11 +11,13 @@
 
 namespace jujubehead::core {
 
-/// @brief Ends leases whose holder and witnesses are all gone or agree, by
-/// deleting their rows in the table service, which lets one candidate win.
+/// @brief Finds leases that may be ended because holder and witnesses are all
+/// gone or have agreed. They end by deletion of their rows in the table
+/// service, where only one candidate can succeed.
 ///
-/// The first witness may have taken over before it went, and its own first
-/// witness after it: so its leases must be over too, or end at the same time.
+/// The first witness may have taken over before it was gone, and its own first
+/// witness after it: so its leases must have ended too, or end in the same
+/// transaction.
 class LeaseReaper
 {
 public:
@@ -24,53 +26,57 @@
   {
   }
 
-  /// @brief Begins or goes on asking about a lease.
-  /// @return what to send.
-  std::vector<SendMessage> Pursue(const LeaseRow& aRow, Instant aNow);
+  /// @brief Requests votes on a lease, first and again while unanswered.
+  /// @return the messages to send.
+  std::vector<SendMessage> RequestVotes(const LeaseRow& aRow, Instant aNow);
   void OnVoteReply(const VoteReply& aReply);
-  /// @return whether that witness gave up the lease and took nothing over.
+  /// @return whether that witness agreed to end the lease and did not take
+  /// over.
   [[nodiscard]] bool HasGranted(const Incarnation& aLease,
                                 const Incarnation& aWitness) const;
-  /// @brief Forgets all but these.
+  /// @brief Discards the polls of all other leases.
   void Retain(const std::set<Incarnation>& aSuspects);
-  /// @return leases that may be ended together, this one among them; empty if
-  /// it may not yet.
-  [[nodiscard]] std::vector<LeaseRow> Endable(const Incarnation& aLease,
-                                              const OwnerMap& aMap,
-                                              MemberWatch& aWatch,
-                                              Instant aNow) const;
+  /// @return the leases that must be ended together with this one, itself
+  /// included; empty if it may not be ended yet.
+  [[nodiscard]] std::vector<LeaseRow> FindDeletable(const Incarnation& aLease,
+                                                    const OwnerMap& aMap,
+                                                    MemberWatch& aWatch,
+                                                    Instant aNow) const;
 
 private:
-  struct Case
+  struct Poll
   {
     LeaseRow row;
-    std::optional<Instant> asked_at;
+    std::optional<Instant> requested_at;
     std::map<InstanceId, VoteReply> replies;
   };
 
-  struct Evidence
+  struct Context
   {
     const OwnerMap& map;
     MemberWatch& watch;
     Instant now;
   };
 
-  [[nodiscard]] static bool IsGone(const Case& aCase,
+  [[nodiscard]] static bool IsGone(const Poll& aPoll,
                                    const Incarnation& aMember,
-                                   const Evidence& aEvidence);
-  [[nodiscard]] static bool IsAccounted(const Case& aCase,
-                                        const Incarnation& aMember,
-                                        const Evidence& aEvidence);
-  [[nodiscard]] bool Collect(const Incarnation& aLease,
-                             const Evidence& aEvidence,
-                             std::map<Incarnation, LeaseRow>& aSet) const;
-  /// Who went may have taken over before.
-  [[nodiscard]] bool CollectOf(const Incarnation& aProcess,
-                               const Evidence& aEvidence,
-                               std::map<Incarnation, LeaseRow>& aSet) const;
+                                   const Context& aContext);
+  /// @return whether the member can no longer act under the polled lease.
+  [[nodiscard]] static bool IsFenced(const Poll& aPoll,
+                                     const Incarnation& aMember,
+                                     const Context& aContext);
+  [[nodiscard]] bool CollectDeletable(
+    const Incarnation& aLease,
+    const Context& aContext,
+    std::map<Incarnation, LeaseRow>& aDeletable) const;
+  /// A process that is gone may have taken over before.
+  [[nodiscard]] bool CollectLeasesOf(
+    const Incarnation& aProcess,
+    const Context& aContext,
+    std::map<Incarnation, LeaseRow>& aDeletable) const;
 
   Incarnation m_self;
-  std::map<Incarnation, Case> m_cases;
+  std::map<Incarnation, Poll> m_polls;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/lease_witness.cpp
+++ b/src/jujubehead/core/lease_witness.cpp
@@ -9,7 +9,7 @@
 {
   Record& record = m_records[aRenew.lease.lease];
   LeaseAck ack{ aRenew.lease.lease, m_self, false, aRenew.mark, 0, 0 };
-  if (record.standing != Standing::kRenewing) {
+  if (record.state != State::kRenewing) {
     return ack;
   }
   if (aRenew.lease.rev >= record.row.rev) {
@@ -45,23 +45,23 @@
     return Vote::kAlive;
   }
   if (!aRequest.election) {
-    if (aRecord.standing == Standing::kElection) {
-      return Vote::kOther;
+    if (aRecord.state == State::kVotedInElection) {
+      return Vote::kGrantedToOther;
     }
-    aRecord.standing = Standing::kService;
+    aRecord.state = State::kReleasedToService;
     return Vote::kGranted;
   }
-  if (aRecord.standing == Standing::kElection) {
+  if (aRecord.state == State::kVotedInElection) {
     return aRecord.voted_for == aRequest.candidate ? Vote::kGranted
-                                                   : Vote::kOther;
+                                                   : Vote::kGrantedToOther;
   }
   const auto& witnesses = aRecord.row.witnesses;
   const bool from_first =
     !witnesses.empty() && witnesses.front() == aRequest.candidate;
-  if (aRecord.standing == Standing::kService || !from_first) {
+  if (aRecord.state == State::kReleasedToService || !from_first) {
     return Vote::kAlive;
   }
-  aRecord.standing = Standing::kElection;
+  aRecord.state = State::kVotedInElection;
   aRecord.voted_for = aRequest.candidate;
   return Vote::kGranted;
 }
@@ -72,7 +72,7 @@
   auto [at, is_new] = m_records.try_emplace(aRequest.lease);
   Record& record = at->second;
   if (is_new) {
-    // Its holder may be about to renew it here for the first time.
+    // The holder may be about to send its first renewal to this witness.
     record.lapses_at = aNow + m_rules.lease + m_rules.drift;
   }
   VoteReply reply;
@@ -89,7 +89,7 @@
 }
 
 bool
-LeaseWitness::IsFirst(const Record& aRecord) const
+LeaseWitness::IsFirstWitness(const Record& aRecord) const
 {
   return !aRecord.row.witnesses.empty() &&
          aRecord.row.witnesses.front() == m_self;
@@ -100,8 +100,8 @@
 {
   std::vector<Candidacy> candidacies;
   for (const auto& [lease, record] : m_records) {
-    if (record.standing != Standing::kRenewing || aNow < record.lapses_at ||
-        !IsFirst(record)) {
+    if (record.state != State::kRenewing || aNow < record.lapses_at ||
+        !IsFirstWitness(record)) {
       continue;
     }
     const auto& witnesses = record.row.witnesses;
@@ -125,13 +125,13 @@
       record.list = aReply.list;
     }
   } else if (aReply.config > record.row.rev) {
-    // The holder replaced this witness meanwhile.
+    // The holder has replaced the witnesses in the meantime.
     record.row.witnesses.clear();
     record.row.rev = aReply.config;
   }
 }
 
-std::optional<Succession>
+std::optional<Takeover>
 LeaseWitness::Elect(const Incarnation& aLease,
                     const Incarnation& aUnder,
                     Instant aNow)
@@ -142,10 +142,10 @@
   }
   Record& record = found->second;
   const bool lapsed =
-    record.standing == Standing::kRenewing && aNow >= record.lapses_at;
-  // Of an empty list there is nothing to take over, and its holder may go on
-  // with other witnesses.
-  if (!lapsed || !IsFirst(record) || record.list.groups.empty()) {
+    record.state == State::kRenewing && aNow >= record.lapses_at;
+  // An empty list leaves nothing to take over, and the holder may continue with
+  // other witnesses.
+  if (!lapsed || !IsFirstWitness(record) || record.list.groups.empty()) {
     return std::nullopt;
   }
   Instant previous_end = record.lapses_at;
@@ -159,9 +159,9 @@
     }
     previous_end = std::max(previous_end, agreed->second);
   }
-  record.standing = Standing::kElection;
+  record.state = State::kVotedInElection;
   record.voted_for = aUnder;
-  return Succession{ aLease, record.list.groups, previous_end };
+  return Takeover{ aLease, record.list.groups, previous_end };
 }
 
 std::size_t
@@ -169,7 +169,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(m_records.begin(), m_records.end(), [&](const auto& aEntry) {
-      return aEntry.second.standing == Standing::kRenewing &&
+      return aEntry.second.state == State::kRenewing &&
              aNow < aEntry.second.lapses_at;
     }));
 }
--- a/src/jujubehead/core/lease_witness.hpp
+++ b/src/jujubehead/core/lease_witness.hpp
@@ -9,24 +9,24 @@
 
 namespace jujubehead::core {
 
-/// @brief A lease that lapsed and whose first witness this process is.
+/// @brief An expired lease whose first witness is this process.
 struct Candidacy
 {
   Incarnation lease;
-  std::vector<Incarnation> others; ///< Witnesses that have to agree.
+  std::vector<Incarnation> others; ///< Witnesses that must agree.
 };
 
-/// @brief What an election won.
-struct Succession
+/// @brief Result of a won election.
+struct Takeover
 {
   Incarnation lease;
   std::vector<GroupRow> groups;
-  Instant previous_end; ///< The lease had lapsed by then, by this clock.
+  Instant previous_end; ///< The lease had expired by then, by this clock.
 };
 
-/// @brief The witness of other instances' leases. Its memory dies with its
-/// process; a holder names its witnesses with their incarnations, so that a
-/// restarted witness counts as another.
+/// @brief The witness role for other instances' leases. Its state is lost when
+/// the process ends; holders identify witnesses by incarnation, so that a
+/// restarted witness counts as a different one.
 class LeaseWitness
 {
 public:
@@ -39,24 +39,25 @@
   LeaseAck OnRenew(const LeaseRenew& aRenew, Instant aNow);
   void OnResign(const Incarnation& aLease, Instant aNow);
   VoteReply OnVoteRequest(const VoteRequest& aRequest, Instant aNow);
-  /// @return leases for which to ask the other witnesses.
+  /// @return expired leases for which to request the other witnesses' votes.
   [[nodiscard]] std::vector<Candidacy> Candidacies(Instant aNow) const;
-  /// @brief Notes another witness's agreement.
+  /// @brief Records another witness's vote.
   void OnVoteReply(const VoteReply& aReply, Instant aNow);
-  /// @return the lease's groups, if this process takes over now.
-  /// @param aUnder the own lease under which they would be owned.
-  std::optional<Succession> Elect(const Incarnation& aLease,
-                                  const Incarnation& aUnder,
-                                  Instant aNow);
-  /// @return leases renewed here of late.
+  /// @brief Takes over an expired lease if all other witnesses agreed.
+  /// @param aUnder this process's lease, under which the groups will be owned.
+  /// @return the groups taken over, or nullopt.
+  std::optional<Takeover> Elect(const Incarnation& aLease,
+                                const Incarnation& aUnder,
+                                Instant aNow);
+  /// @return the number of unexpired leases witnessed here.
   [[nodiscard]] std::size_t Watched(Instant aNow) const;
 
 private:
-  enum class Standing
+  enum class State
   {
     kRenewing,
-    kElection, ///< The vote is with `voted_for`.
-    kService,  ///< Whoever deletes the row in the table service.
+    kVotedInElection,   ///< Voted for `voted_for`.
+    kReleasedToService, ///< Left to whoever deletes the row.
   };
 
   struct Record
@@ -64,20 +65,21 @@
     LeaseRow row;
     OwnedList list;
     Instant lapses_at;
-    Standing standing = Standing::kRenewing;
+    State state = State::kRenewing;
     Incarnation voted_for;
-    /// Witnesses that refuse it for good, with when it lapsed there.
+    /// Witnesses that permanently refuse the lease, and when it expired there.
     std::map<Incarnation, Instant> agreed;
   };
 
-  [[nodiscard]] bool IsFirst(const Record& aRecord) const;
+  [[nodiscard]] bool IsFirstWitness(const Record& aRecord) const;
   [[nodiscard]] Vote Decide(Record& aRecord,
                             const VoteRequest& aRequest,
                             Instant aNow) const;
 
   Incarnation m_self;
   OwnershipRules m_rules;
-  /// Refused leases stay for good: a holder may wake at any time.
+  /// Refused leases are never removed: a suspended holder may resume at any
+  /// time.
   std::map<Incarnation, Record> m_records;
 };
 
--- a/src/jujubehead/core/member_watch.cpp
+++ b/src/jujubehead/core/member_watch.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A list older than this shows nobody gone.
-constexpr Duration kFreshList = std::chrono::seconds(10);
+/// An older list is no evidence that an instance is gone.
+constexpr Duration kMaxListAge = std::chrono::seconds(10);
 
 } // namespace
 
@@ -35,9 +35,9 @@
 }
 
 void
-MemberWatch::Heard(const InstanceId& aFrom, Instant aNow)
+MemberWatch::RecordMessage(const InstanceId& aFrom, Instant aNow)
 {
-  m_heard[aFrom] = aNow;
+  m_last_message_at[aFrom] = aNow;
 }
 
 bool
@@ -57,15 +57,15 @@
 MemberWatch::IsGone(const InstanceId& aInstance, Instant aNow)
 {
   if (!m_known || IsListed(aInstance) || aInstance == m_self ||
-      aNow > m_set_at + kFreshList) {
+      aNow > m_set_at + kMaxListAge) {
     return false;
   }
   const Instant absent =
     m_absent_since.try_emplace(aInstance, aNow).first->second;
-  const auto heard = m_heard.find(aInstance);
-  const bool silent =
-    heard == m_heard.end() || aNow >= heard->second + m_rules.gone_after;
-  return silent && aNow >= absent + m_rules.gone_after;
+  const auto last_message = m_last_message_at.find(aInstance);
+  const bool silent = last_message == m_last_message_at.end() ||
+                      aNow >= last_message->second + m_rules.member_timeout;
+  return silent && aNow >= absent + m_rules.member_timeout;
 }
 
 std::vector<InstanceId>
@@ -90,11 +90,11 @@
     centres.emplace(member.id, member.data_centre);
   }
   std::vector<InstanceId> order = HomesOf(m_self.View(), ids, ids.size());
-  std::map<DataCentreId, int> seen;
+  std::map<DataCentreId, int> used_in_centre;
   std::map<InstanceId, int> round;
-  seen[m_data_centre] = static_cast<int>(order.size());
+  used_in_centre[m_data_centre] = static_cast<int>(order.size());
   for (const InstanceId& id : order) {
-    round[id] = seen[centres.at(id)]++;
+    round[id] = used_in_centre[centres.at(id)]++;
   }
   std::stable_sort(order.begin(),
                    order.end(),
--- a/src/jujubehead/core/member_watch.hpp
+++ b/src/jujubehead/core/member_watch.hpp
@@ -10,8 +10,8 @@
 
 namespace jujubehead::core {
 
-/// @brief The platform's list of instances, which lags and may be wrong, beside
-/// what was heard from the instances themselves.
+/// @brief Combines the platform's list of instances, which may be late or
+/// wrong, with the times of messages from the instances themselves.
 class MemberWatch
 {
 public:
@@ -23,19 +23,19 @@
   }
 
   void Set(std::span<const InstanceMember> aMembers, Instant aNow);
-  void Heard(const InstanceId& aFrom, Instant aNow);
+  void RecordMessage(const InstanceId& aFrom, Instant aNow);
   [[nodiscard]] bool IsKnown() const { return m_known; }
   [[nodiscard]] bool IsListed(const InstanceId& aInstance) const;
   [[nodiscard]] bool IsLeaving(const InstanceId& aInstance) const;
-  /// @return whether the instance was absent from the list, and silent, for
-  /// long enough to be taken for gone.
+  /// @return whether the instance has been missing from the list, and has sent
+  /// nothing, for at least OwnershipRules::member_timeout.
   [[nodiscard]] bool IsGone(const InstanceId& aInstance, Instant aNow);
   /// @return when the list last changed.
   [[nodiscard]] Instant ChangedAt() const { return m_changed_at; }
-  /// @return all others in the list.
+  /// @return all other listed instances.
   [[nodiscard]] std::vector<InstanceId> Others() const;
-  /// @return others of which `aUsable` holds, those in other data centres
-  /// first, each data centre once before any twice.
+  /// @return other instances that satisfy `aUsable`: those in other data
+  /// centres first, taking each data centre once before any a second time.
   template<typename Usable>
   [[nodiscard]] std::vector<InstanceId> WitnessOrder(Usable aUsable) const;
 
@@ -47,7 +47,7 @@
   DataCentreId m_data_centre;
   OwnershipRules m_rules;
   std::map<InstanceId, InstanceMember> m_members;
-  std::map<InstanceId, Instant> m_heard;
+  std::map<InstanceId, Instant> m_last_message_at;
   std::map<InstanceId, Instant> m_absent_since;
   Instant m_set_at;
   Instant m_changed_at;
--- a/src/jujubehead/core/owner_map.hpp
+++ b/src/jujubehead/core/owner_map.hpp
@@ -10,20 +10,19 @@
 
 namespace jujubehead::core {
 
-/// @brief What this instance knows of the rows, from reading them and from the
-/// others' announcements.
+/// @brief Local cache of the group and lease rows, filled by reads and by other
+/// instances' announcements.
 class OwnerMap
 {
 public:
   void Put(const GroupRow& aRow);
   void Put(const LeaseRow& aRow);
   void End(const Incarnation& aLease);
-  /// @brief All lease rows, as just read: others are over.
+  /// @brief Replaces all leases by the rows just read; any other has ended.
   void ReplaceLeases(const std::vector<LeaseRow>& aRows);
 
   [[nodiscard]] const GroupRow* Group(const GroupId& aGroup) const;
   [[nodiscard]] const LeaseRow* Lease(const Incarnation& aLease) const;
-  /// @return the leases of an instance.
   [[nodiscard]] std::vector<LeaseRow> LeasesOf(
     const InstanceId& aInstance) const;
   [[nodiscard]] const std::map<GroupId, GroupRow>& Groups() const
--- a/src/jujubehead/core/ownership_impl.cpp
+++ b/src/jujubehead/core/ownership_impl.cpp
@@ -48,7 +48,7 @@
                            const OwnershipMessage& aMessage,
                            Instant aNow)
 {
-  m_watch.Heard(aFrom, aNow);
+  m_watch.RecordMessage(aFrom, aNow);
   std::visit([&](const auto& aTyped) { On(aFrom, aTyped, aNow); }, aMessage);
 }
 
@@ -76,7 +76,7 @@
   if (named) {
     Send(aFrom, m_witness.OnRenew(aRenew, aNow), aNow);
   } else {
-    // It knows an earlier process of this instance.
+    // The holder's row names an earlier process of this instance.
     Send(aFrom,
          LeaseAck{ aRenew.lease.lease, m_process, false, aRenew.mark, 0, 0 },
          aNow);
@@ -111,7 +111,7 @@
   reply.voter = m_process;
   const bool held = m_lease && m_lease->Row().lease == aRequest.lease;
   const bool opening = m_opening && m_opening->lease == aRequest.lease;
-  reply.vote = held || opening ? Vote::kAlive : Vote::kGone;
+  reply.vote = held || opening ? Vote::kAlive : Vote::kReleased;
   return reply;
 }
 
@@ -136,22 +136,22 @@
 
 void
 Ownership::Impl::On(const InstanceId& aFrom,
-                    const OwnersAnnounce& aNews,
+                    const OwnersAnnounce& aAnnouncement,
                     Instant aNow)
 {
-  for (const LeaseRow& row : aNews.opened) {
+  for (const LeaseRow& row : aAnnouncement.opened) {
     m_map.Put(row);
     if (row.lease.instance == aFrom) {
       m_processes[aFrom] = ProcessIn(row.lease);
     }
   }
-  for (const Incarnation& lease : aNews.ended) {
+  for (const Incarnation& lease : aAnnouncement.ended) {
     m_map.End(lease);
   }
-  for (const GroupRow& row : aNews.groups) {
+  for (const GroupRow& row : aAnnouncement.groups) {
     m_map.Put(row);
     if (row.owner.instance == aFrom) {
-      m_handed.erase(row.group);
+      m_handed_over.erase(row.group);
     }
     const auto held = m_held.find(row.group);
     if (held != m_held.end() && row.epoch > held->second.epoch) {
@@ -159,10 +159,11 @@
     }
     const bool mine = m_lease && row.owner == m_lease->Row().lease;
     if (mine && !m_held.contains(row.group)) {
-      // Handed over; the list of its permits may be lost.
-      constexpr Duration kUsualHandOver = std::chrono::seconds(1);
+      // The group was handed over, but the message with its permits may be
+      // lost.
+      constexpr Duration kExpectedHandOverTime = std::chrono::seconds(1);
       m_reread.insert(row.group);
-      m_check_at = std::min(m_check_at, aNow + kUsualHandOver);
+      m_check_at = std::min(m_check_at, aNow + kExpectedHandOverTime);
     }
   }
 }
@@ -210,7 +211,7 @@
   m_held.insert_or_assign(aRow.group, std::move(holding));
   m_lease_used = true;
   m_map.Put(aRow);
-  m_news.groups.push_back(aRow);
+  m_unannounced.groups.push_back(aRow);
   m_actions.emplace_back(std::move(aStart));
   UpdateList();
 }
@@ -280,8 +281,8 @@
     holding.row.rev = aRow.rev;
   } else if (holding.moving) {
     m_actions.emplace_back(HandOverGroup{ aRow, holding.epoch });
-    m_news.groups.push_back(aRow);
-    m_handed.insert_or_assign(aRow.group, Handed{ aRow, aNow });
+    m_unannounced.groups.push_back(aRow);
+    m_handed_over.insert_or_assign(aRow.group, PendingHandOver{ aRow, aNow });
     m_held.erase(found);
   } else {
     Stop(aRow.group);
@@ -297,7 +298,7 @@
     m_lease.emplace(aRow, m_options.rules, aNow);
     m_lease_used = false;
     m_opening.reset();
-    m_check_at = aNow + m_options.rules.gone_after;
+    m_check_at = aNow + m_options.rules.member_timeout;
   } else if (m_lease && m_lease->Row().lease == aRow.lease &&
              aRow.rev > m_lease->Row().rev) {
     const bool all_count = !m_lease_used || m_lease->Row().witnesses.empty() ||
@@ -306,7 +307,7 @@
   } else {
     return;
   }
-  m_news.opened.push_back(aRow);
+  m_unannounced.opened.push_back(aRow);
   UpdateList();
 }
 
@@ -315,7 +316,7 @@
 {
   m_map.End(aLease);
   m_inherited.erase(aLease);
-  m_news.ended.push_back(aLease);
+  m_unannounced.ended.push_back(aLease);
   if (m_lease && m_lease->Row().lease == aLease) {
     LoseLease();
     m_left = m_leaving_since.has_value();
@@ -347,7 +348,7 @@
     return;
   }
   if (aOutcome == WriteOutcome::kConflict) {
-    m_gate.Lost(aNow);
+    m_gate.Conflicted(aNow);
   } else {
     m_gate.Failed(aNow);
   }
@@ -430,10 +431,11 @@
 std::vector<OwnershipAction>
 Ownership::Impl::TakeActions()
 {
-  const bool news =
-    !m_news.groups.empty() || !m_news.opened.empty() || !m_news.ended.empty();
-  if (news) {
-    const OwnersAnnounce announce = std::exchange(m_news, {});
+  const bool has_changes = !m_unannounced.groups.empty() ||
+                           !m_unannounced.opened.empty() ||
+                           !m_unannounced.ended.empty();
+  if (has_changes) {
+    const OwnersAnnounce announce = std::exchange(m_unannounced, {});
     for (const InstanceId& other : m_watch.Others()) {
       m_actions.emplace_back(SendMessage{ other, announce });
     }
--- a/src/jujubehead/core/ownership_impl.hpp
+++ b/src/jujubehead/core/ownership_impl.hpp
@@ -16,9 +16,9 @@
 
 namespace jujubehead::core {
 
-/// @brief Joins the holder's, the witness's and the claimant's parts. All that
-/// the table service does comes back as rows; state follows from rows alone,
-/// so that a lost answer needs no rule of its own.
+/// @brief Combines the roles of lease holder, witness and claimant. Results of
+/// the table service arrive as rows, and state is derived from rows alone, so
+/// that a lost response needs no special handling.
 class Ownership::Impl
 {
 public:
@@ -50,27 +50,30 @@
   struct Holding
   {
     std::uint64_t epoch = 0;
-    GroupRow row; ///< As the table service has it.
+    GroupRow row; ///< As stored in the table service.
     bool recorded = true;
     bool moving = false;
-    /// A move may still land: written again before it is admitted to.
+    /// A move with unknown outcome may still commit: the row is written again
+    /// before work is admitted.
     bool uncertain = false;
-    std::uint64_t moving_since = 0; ///< Version of the list without it.
+    std::uint64_t moving_since = 0; ///< First list version without it.
   };
 
-  struct Handed
+  struct PendingHandOver
   {
     GroupRow row;
     Instant at;
   };
 
-  // ownership_impl.cpp: messages and rows.
+  // ownership_impl.cpp: handling of messages and rows.
   void On(const InstanceId& aFrom, const LeaseRenew& aRenew, Instant aNow);
   void On(const InstanceId& aFrom, const LeaseAck& aAck, Instant aNow);
   void On(const InstanceId& aFrom, const LeaseResign& aResign, Instant aNow);
   void On(const InstanceId& aFrom, const VoteRequest& aRequest, Instant aNow);
   void On(const InstanceId& aFrom, const VoteReply& aReply, Instant aNow);
-  void On(const InstanceId& aFrom, const OwnersAnnounce& aNews, Instant aNow);
+  void On(const InstanceId& aFrom,
+          const OwnersAnnounce& aAnnouncement,
+          Instant aNow);
   void On(const InstanceId& aFrom, const OwnersAsk& aAsk, Instant aNow);
   [[nodiscard]] VoteReply AnswerVote(const VoteRequest& aRequest, Instant aNow);
   void Send(const InstanceId& aTo, OwnershipMessage aMessage, Instant aNow);
@@ -83,36 +86,37 @@
   void LoseLease();
   void UpdateList();
 
-  // ownership_tick.cpp: what time brings.
-  void KeepLease(Instant aNow);
+  // ownership_tick.cpp: periodic work.
+  void RenewLease(Instant aNow);
   void HoldElections(Instant aNow);
-  void Take(const Succession& aSuccession);
-  void UseService(Instant aNow);
-  /// Reads the rows that should name this instance but are not held.
-  void LookForOwn(Instant aNow);
+  void TakeOver(const Takeover& aTakeover);
+  void RunServiceOperation(Instant aNow);
+  /// Schedules a read of the groups that are assigned to this instance but not
+  /// held by it.
+  void RereadMissingGroups(Instant aNow);
   void ReadAll(Instant aNow);
   bool Reread();
   bool OpenLease();
-  bool Record(Instant aNow);
+  bool RecordGroups(Instant aNow);
   bool ChangeWitnesses(Instant aNow);
   [[nodiscard]] std::optional<LeaseRow> NextWitnesses(Instant aNow);
-  bool EndLeases(Instant aNow);
-  /// @return those that this instance is to end, by now.
+  bool DeleteEndedLeases(Instant aNow);
+  /// @return the suspects that it is now this instance's turn to end.
   [[nodiscard]] std::set<Incarnation> DueSuspects(
     const std::set<Incarnation>& aSuspects,
     Instant aNow);
-  void PursueWithWitnesses(const Incarnation& aLease,
-                           const std::set<Incarnation>& aSuspects,
-                           std::set<Incarnation>& aPursued,
-                           Instant aNow);
-  bool Claim(Instant aNow);
-  bool Move(Instant aNow);
-  bool Close();
-  void PickMoves(Instant aNow);
+  void RequestVotesWithWitnesses(const Incarnation& aLease,
+                                 const std::set<Incarnation>& aSuspects,
+                                 std::set<Incarnation>& aRequested,
+                                 Instant aNow);
+  bool ClaimGroups(Instant aNow);
+  bool MoveGroups(Instant aNow);
+  bool CloseLease();
+  void SelectMoves(Instant aNow);
   void ResignIfStuck(Instant aNow);
   void Write(WriteRows aWrite);
-  /// @brief As Write(), but in this instance's share of the pace of all.
-  /// @return whether it was written, or shall be later.
+  /// @brief As Write(), limited to this instance's share of the total rate.
+  /// @return whether it was written or is deferred.
   bool WritePaced(WriteRows aWrite, double aRowsPerSecond, Instant aNow);
   void AnnounceAgain(Instant aNow);
   [[nodiscard]] bool HasValidLease(Instant aNow) const;
@@ -121,17 +125,17 @@
     Instant aNow) const;
   [[nodiscard]] std::optional<Incarnation> ProcessOf(
     const InstanceId& aInstance) const;
-  [[nodiscard]] bool IsAllLostSafely(Instant aNow);
-  /// @return who may hold leases now, without this instance.
+  [[nodiscard]] bool AreAllWitnessesReplaceable(Instant aNow);
+  /// @return the other instances that may hold leases now.
   [[nodiscard]] std::vector<InstanceId> OtherHolders() const;
-  /// @return who may own groups now.
+  /// @return the instances that may own groups now.
   [[nodiscard]] std::vector<InstanceId> Candidates(Instant aNow) const;
   [[nodiscard]] std::optional<LeaseRow> LeaseOf(
     const InstanceId& aInstance) const;
   void AfterFailedWrite(const WriteRows& aWrite, WriteOutcome aOutcome);
   [[nodiscard]] bool IsSuspect(const LeaseRow& aRow, Instant aNow);
-  /// @return how long after the first this instance acts on a key; nothing if
-  /// it never does.
+  /// @return this instance's delay behind the first candidate for a key;
+  /// nullopt if it is no candidate.
   [[nodiscard]] std::optional<Duration> DelayFor(
     std::string_view aKey,
     const std::vector<InstanceId>& aCandidates) const;
@@ -145,18 +149,22 @@
   LeaseReaper m_reaper;
   ServiceGate m_gate;
   std::optional<LeaseHolder> m_lease;
-  bool m_lease_used = false; ///< Something was owned under it.
+  bool m_lease_used = false; ///< At least one group was owned under it.
   std::optional<LeaseRow> m_opening;
-  /// The row as it will be after a change that no earlier witness can disturb.
+  /// The row after a witness change during which no earlier witness can take
+  /// over.
   std::optional<LeaseRow> m_safe_change;
   std::uint64_t m_leases_opened = 0;
   std::map<GroupId, Holding> m_held;
   std::set<GroupId> m_groups;
-  std::map<GroupId, Handed> m_handed; ///< Not announced by the new owner yet.
-  std::map<InstanceId, Incarnation> m_processes; ///< As they said themselves.
-  std::map<InstanceId, Instant> m_avoid;         ///< Witnesses that were lost.
-  std::set<Incarnation> m_inherited; ///< Leases won, whose rows still stand.
-  std::map<std::string, Instant> m_due_since; ///< Free groups, ended leases.
+  std::map<GroupId, PendingHandOver>
+    m_handed_over; ///< Not announced by the new owner yet.
+  std::map<InstanceId, Incarnation>
+    m_processes; ///< As they reported themselves.
+  std::map<InstanceId, Instant>
+    m_avoided_witnesses;             ///< Lost witnesses; when lost.
+  std::set<Incarnation> m_inherited; ///< Taken over; rows not deleted yet.
+  std::map<std::string, Instant> m_due_since; ///< By unowned group and suspect.
 
   std::optional<WriteRows> m_write;
   std::optional<Instant> m_first_read_at;
@@ -169,7 +177,7 @@
   Instant m_scan_at;
   Instant m_check_at;
   Instant m_read_asked_at;
-  Instant m_leases_known_at; ///< When the last read of them was asked for.
+  Instant m_leases_known_at; ///< Start of the last read of leases.
   Instant m_elect_at;
   Instant m_claim_at;
   Instant m_announce_at;
@@ -178,7 +186,7 @@
   bool m_left = false;
 
   std::vector<OwnershipAction> m_actions;
-  OwnersAnnounce m_news;
+  OwnersAnnounce m_unannounced;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/ownership_tick.cpp
+++ b/src/jujubehead/core/ownership_tick.cpp
@@ -8,25 +8,27 @@
 
 namespace {
 
-constexpr std::size_t kWitnesses = 2;
-/// Groups in one transaction, leaving room for checks and deletes.
-constexpr std::size_t kGroupsAtOnce = 80;
-/// A claim by the service ends with a multiple of this; takeovers by witnesses
-/// count up in between.
+constexpr std::size_t kWitnessCount = 2;
+/// Per transaction; leaves room for checks and deletes.
+constexpr std::size_t kMaxGroupsPerWrite = 80;
+/// Epochs of claims through the table service are multiples of this; takeovers
+/// by witnesses increment the epoch in between.
 constexpr std::uint64_t kEpochStride = 16;
-/// How much later the next candidate acts when the first does not.
-constexpr Duration kNextCandidate = std::chrono::seconds(15);
-constexpr std::size_t kCandidates = 3;
-/// Starts of a whole data centre at once are spread by this for each instance.
-constexpr Duration kSpreadOfStarts = std::chrono::milliseconds(20);
-constexpr Duration kLookEvery = std::chrono::seconds(1);
-constexpr Duration kAnnounceEvery = std::chrono::seconds(5);
-/// A new owner that does not announce a group is told of it again for so long.
-constexpr Duration kAnnounceHanded = std::chrono::minutes(2);
-
-/// Witnesses that are not in the next row, but may have to be asked.
+/// Delay of each further candidate behind the one before it.
+constexpr Duration kCandidateDelay = std::chrono::seconds(15);
+constexpr std::size_t kMaxCandidates = 3;
+/// Spreads the first reads when all instances of a data centre start at once.
+constexpr Duration kStartSpreadPerInstance = std::chrono::milliseconds(20);
+constexpr Duration kClaimInterval = std::chrono::seconds(1);
+constexpr Duration kAnnounceInterval = std::chrono::seconds(5);
+/// A handover is announced again to its new owner until that owner announces
+/// the group, at most for this long.
+constexpr Duration kHandOverAnnouncePeriod = std::chrono::minutes(2);
+
+/// Witnesses that are not in the next row but may still have to be asked for
+/// their vote.
 std::vector<Incarnation>
-Dropped(const LeaseRow& aRow, const LeaseRow& aNext, bool aConfirmed)
+DroppedWitnesses(const LeaseRow& aRow, const LeaseRow& aNext, bool aConfirmed)
 {
   std::vector<Incarnation> dropped;
   if (!aConfirmed) {
@@ -42,7 +44,7 @@
 }
 
 std::uint64_t
-NextClaim(std::uint64_t aEpoch)
+NextClaimEpoch(std::uint64_t aEpoch)
 {
   return (aEpoch / kEpochStride + 1) * kEpochStride;
 }
@@ -55,10 +57,10 @@
   if (m_left) {
     return;
   }
-  KeepLease(aNow);
+  RenewLease(aNow);
   HoldElections(aNow);
-  PickMoves(aNow);
-  UseService(aNow);
+  SelectMoves(aNow);
+  RunServiceOperation(aNow);
   AnnounceAgain(aNow);
   ResignIfStuck(aNow);
 }
@@ -73,7 +75,7 @@
 }
 
 void
-Ownership::Impl::KeepLease(Instant aNow)
+Ownership::Impl::RenewLease(Instant aNow)
 {
   if (!m_lease) {
     return;
@@ -94,7 +96,7 @@
       return m_lease->IsRefusedBy(aOne);
     });
   const bool long_lapsed =
-    aNow >= *m_lapsed_since + m_options.rules.witness_lost;
+    aNow >= *m_lapsed_since + m_options.rules.witness_timeout;
   if (m_lease->IsRefused() || (refused && long_lapsed)) {
     LoseLease();
   }
@@ -106,11 +108,11 @@
   if (aNow < m_elect_at || !HasValidLease(aNow) || m_leaving_since) {
     return;
   }
-  m_elect_at = aNow + m_options.rules.vote_retry;
+  m_elect_at = aNow + m_options.rules.vote_retry_interval;
   for (const Candidacy& candidacy : m_witness.Candidacies(aNow)) {
     if (const auto won =
           m_witness.Elect(candidacy.lease, m_lease->Row().lease, aNow)) {
-      Take(*won);
+      TakeOver(*won);
       continue;
     }
     for (const Incarnation& other : candidacy.others) {
@@ -121,23 +123,23 @@
 }
 
 void
-Ownership::Impl::Take(const Succession& aSuccession)
+Ownership::Impl::TakeOver(const Takeover& aTakeover)
 {
-  m_inherited.insert(aSuccession.lease);
-  for (GroupRow row : aSuccession.groups) {
+  m_inherited.insert(aTakeover.lease);
+  for (GroupRow row : aTakeover.groups) {
     if ((row.epoch + 1) % kEpochStride == 0 || m_held.contains(row.group)) {
       continue;
     }
     ++row.epoch;
     row.owner = m_lease->Row().lease;
     StartOwning start;
-    start.previous_end = aSuccession.previous_end;
+    start.previous_end = aTakeover.previous_end;
     Start(row, false, std::move(start));
   }
 }
 
 void
-Ownership::Impl::UseService(Instant aNow)
+Ownership::Impl::RunServiceOperation(Instant aNow)
 {
   if (!m_gate.IsOpen(aNow)) {
     return;
@@ -148,9 +150,9 @@
     return;
   }
   if (aNow >= m_check_at) {
-    m_check_at =
-      aNow + m_options.rules.gone_after + m_gate.Jitter(m_options.rules.jitter);
-    LookForOwn(aNow);
+    m_check_at = aNow + m_options.rules.member_timeout +
+                 m_gate.Jitter(m_options.rules.jitter);
+    RereadMissingGroups(aNow);
   }
   if (Reread() || OpenLease()) {
     return;
@@ -158,13 +160,14 @@
   if (!m_lease) {
     return;
   }
-  const bool done = Record(aNow) || ChangeWitnesses(aNow) || EndLeases(aNow) ||
-                    Claim(aNow) || Move(aNow) || Close();
+  const bool done = RecordGroups(aNow) || ChangeWitnesses(aNow) ||
+                    DeleteEndedLeases(aNow) || ClaimGroups(aNow) ||
+                    MoveGroups(aNow) || CloseLease();
   static_cast<void>(done);
 }
 
 void
-Ownership::Impl::LookForOwn(Instant aNow)
+Ownership::Impl::RereadMissingGroups(Instant aNow)
 {
   m_must_reread = true;
   const auto candidates = Candidates(aNow);
@@ -182,7 +185,7 @@
 {
   if (!m_first_read_at) {
     const auto others = static_cast<Duration::rep>(m_watch.Others().size());
-    m_first_read_at = aNow + m_gate.Jitter(kSpreadOfStarts * others);
+    m_first_read_at = aNow + m_gate.Jitter(kStartSpreadPerInstance * others);
   }
   if (!m_watch.IsKnown() || aNow < *m_first_read_at) {
     return;
@@ -196,8 +199,8 @@
       Send(others[pick], OwnersAsk{}, aNow);
     }
   }
-  m_scan_at = aNow + m_options.rules.scan_every +
-              m_gate.Jitter(m_options.rules.scan_every / 4);
+  m_scan_at = aNow + m_options.rules.scan_interval +
+              m_gate.Jitter(m_options.rules.scan_interval / 4);
   m_reading_all = true;
   m_actions.emplace_back(ReadRows{ m_gate.Begin(), true, {} });
 }
@@ -261,9 +264,9 @@
 std::optional<Incarnation>
 Ownership::Impl::ProcessOf(const InstanceId& aInstance) const
 {
-  const auto said = m_processes.find(aInstance);
-  if (said != m_processes.end()) {
-    return said->second;
+  const auto reported = m_processes.find(aInstance);
+  if (reported != m_processes.end()) {
+    return reported->second;
   }
   const auto rows = m_map.LeasesOf(aInstance);
   if (rows.empty()) {
@@ -281,9 +284,9 @@
 {
   std::vector<Incarnation> picked = aKept;
   const auto order = m_watch.WitnessOrder([&](const InstanceId& aInstance) {
-    const auto avoided = m_avoid.find(aInstance);
-    const bool avoid = avoided != m_avoid.end() &&
-                       aNow < avoided->second + m_options.rules.gone_after;
+    const auto avoided = m_avoided_witnesses.find(aInstance);
+    const bool avoid = avoided != m_avoided_witnesses.end() &&
+                       aNow < avoided->second + m_options.rules.member_timeout;
     const bool kept = std::any_of(
       aKept.begin(), aKept.end(), [&aInstance](const Incarnation& aOne) {
         return aOne.instance == aInstance;
@@ -291,7 +294,7 @@
     return !avoid && !kept && ProcessOf(aInstance).has_value();
   });
   for (const InstanceId& instance : order) {
-    if (picked.size() >= kWitnesses) {
+    if (picked.size() >= kWitnessCount) {
       break;
     }
     picked.push_back(*ProcessOf(instance));
@@ -317,7 +320,7 @@
 }
 
 bool
-Ownership::Impl::Record(Instant aNow)
+Ownership::Impl::RecordGroups(Instant aNow)
 {
   WriteRows write;
   std::size_t left = 0;
@@ -325,7 +328,7 @@
     if (holding.recorded && !holding.uncertain) {
       continue;
     }
-    if (write.puts.size() >= kGroupsAtOnce) {
+    if (write.puts.size() >= kMaxGroupsPerWrite) {
       ++left;
       continue;
     }
@@ -349,10 +352,10 @@
 }
 
 bool
-Ownership::Impl::IsAllLostSafely(Instant aNow)
+Ownership::Impl::AreAllWitnessesReplaceable(Instant aNow)
 {
   const LeaseRow& row = m_lease->Row();
-  for (SendMessage& ask : m_reaper.Pursue(row, aNow)) {
+  for (SendMessage& ask : m_reaper.RequestVotes(row, aNow)) {
     Send(ask.to, std::move(ask.message), aNow);
   }
   std::vector<Incarnation> witnesses = row.witnesses;
@@ -361,9 +364,9 @@
     if (m_reaper.HasGranted(row.lease, witness)) {
       continue;
     }
-    const auto said = m_processes.find(witness.instance);
+    const auto reported = m_processes.find(witness.instance);
     const bool replaced =
-      said != m_processes.end() && !said->second.IsSameProcess(witness);
+      reported != m_processes.end() && !reported->second.IsSameProcess(witness);
     const bool gone = replaced || m_watch.IsGone(witness.instance, aNow);
     if (!gone && m_lease->IsAcking(witness, aNow)) {
       continue;
@@ -371,7 +374,7 @@
     if (!gone || m_lease->IsRefusedBy(witness)) {
       return false;
     }
-    // It may have taken over before it went.
+    // It may have taken over before it was gone.
     const auto rows = m_map.LeasesOf(witness.instance);
     const bool may_own =
       std::any_of(rows.begin(), rows.end(), [&](const LeaseRow& aRow) {
@@ -381,8 +384,8 @@
       return false;
     }
   }
-  constexpr Duration kFresh = std::chrono::seconds(2);
-  if (aNow > m_leases_known_at + kFresh) {
+  constexpr Duration kMaxLeaseReadAge = std::chrono::seconds(2);
+  if (aNow > m_leases_known_at + kMaxLeaseReadAge) {
     m_must_reread = true;
     return false;
   }
@@ -397,14 +400,14 @@
   std::vector<Incarnation> leaving;
   for (const Incarnation& witness : row.witnesses) {
     if (m_lease->IsLost(witness, aNow)) {
-      m_avoid[witness.instance] = aNow;
+      m_avoided_witnesses[witness.instance] = aNow;
     } else if (m_watch.IsLeaving(witness.instance)) {
       leaving.push_back(witness);
     } else {
       kept.push_back(witness);
     }
   }
-  // One at a time: the one that stays is in both rows.
+  // Replaces one witness at a time, so that one is in both rows.
   if (kept.empty() && !leaving.empty()) {
     kept.push_back(leaving.front());
   }
@@ -413,7 +416,7 @@
       return m_lease->IsUpToDate(aOne);
     });
   const bool is_free = row.witnesses.empty() || !m_lease_used;
-  if (!is_free && !has_survivor && !IsAllLostSafely(aNow)) {
+  if (!is_free && !has_survivor && !AreAllWitnessesReplaceable(aNow)) {
     return std::nullopt;
   }
   LeaseRow next = row;
@@ -424,7 +427,7 @@
     return std::nullopt;
   }
   if (has_survivor || is_free) {
-    next.former = Dropped(row, next, m_lease->IsConfirmed());
+    next.former = DroppedWitnesses(row, next, m_lease->IsConfirmed());
   } else {
     m_safe_change = next;
     ++m_safe_change->rev;
@@ -484,12 +487,12 @@
 Ownership::Impl::DelayFor(std::string_view aKey,
                           const std::vector<InstanceId>& aCandidates) const
 {
-  const auto homes = HomesOf(aKey, aCandidates, kCandidates);
+  const auto homes = HomesOf(aKey, aCandidates, kMaxCandidates);
   const auto self = std::find(homes.begin(), homes.end(), m_options.self);
   if (self == homes.end()) {
     return std::nullopt;
   }
-  return kNextCandidate * (self - homes.begin());
+  return kCandidateDelay * (self - homes.begin());
 }
 
 bool
@@ -502,15 +505,15 @@
   if (lease.instance == m_options.self) {
     return true;
   }
-  const auto said = m_processes.find(lease.instance);
+  const auto reported = m_processes.find(lease.instance);
   const bool replaced =
-    said != m_processes.end() && !said->second.IsSameProcess(lease);
+    reported != m_processes.end() && !reported->second.IsSameProcess(lease);
   const auto rows = m_map.LeasesOf(lease.instance);
-  const bool followed =
+  const bool superseded =
     std::any_of(rows.begin(), rows.end(), [&lease](const LeaseRow& aOther) {
       return aOther.lease.IsSameProcess(lease) && aOther.lease > lease;
     });
-  return replaced || followed || m_watch.IsGone(lease.instance, aNow);
+  return replaced || superseded || m_watch.IsGone(lease.instance, aNow);
 }
 
 std::set<Incarnation>
@@ -532,20 +535,22 @@
 }
 
 void
-Ownership::Impl::PursueWithWitnesses(const Incarnation& aLease,
-                                     const std::set<Incarnation>& aSuspects,
-                                     std::set<Incarnation>& aPursued,
-                                     Instant aNow)
+Ownership::Impl::RequestVotesWithWitnesses(
+  const Incarnation& aLease,
+  const std::set<Incarnation>& aSuspects,
+  std::set<Incarnation>& aRequested,
+  Instant aNow)
 {
   const LeaseRow* found = m_map.Lease(aLease);
-  if (found == nullptr || !aPursued.insert(aLease).second) {
+  if (found == nullptr || !aRequested.insert(aLease).second) {
     return;
   }
   const LeaseRow row = *found;
-  for (SendMessage& ask : m_reaper.Pursue(row, aNow)) {
+  for (SendMessage& ask : m_reaper.RequestVotes(row, aNow)) {
     Send(ask.to, std::move(ask.message), aNow);
   }
-  // A witness that went may have taken over: its leases end together.
+  // A witness that is gone may have taken over first, so its own leases have to
+  // be ended together with this one.
   std::vector<Incarnation> witnesses = row.witnesses;
   witnesses.insert(witnesses.end(), row.former.begin(), row.former.end());
   for (const Incarnation& suspect : aSuspects) {
@@ -554,13 +559,13 @@
         return aOne.IsSameProcess(suspect);
       });
     if (is_witness) {
-      PursueWithWitnesses(suspect, aSuspects, aPursued, aNow);
+      RequestVotesWithWitnesses(suspect, aSuspects, aRequested, aNow);
     }
   }
 }
 
 bool
-Ownership::Impl::EndLeases(Instant aNow)
+Ownership::Impl::DeleteEndedLeases(Instant aNow)
 {
   std::set<Incarnation> suspects;
   for (const auto& [lease, row] : m_map.Leases()) {
@@ -571,30 +576,30 @@
     }
   }
   const std::set<Incarnation> due = DueSuspects(suspects, aNow);
-  std::set<Incarnation> pursued;
-  std::vector<LeaseRow> endable;
+  std::set<Incarnation> requested;
+  std::vector<LeaseRow> deletable;
   for (const Incarnation& lease : due) {
-    PursueWithWitnesses(lease, suspects, pursued, aNow);
+    RequestVotesWithWitnesses(lease, suspects, requested, aNow);
   }
   for (const Incarnation& lease : due) {
-    if (endable.empty()) {
-      endable = m_reaper.Endable(lease, m_map, m_watch, aNow);
+    if (deletable.empty()) {
+      deletable = m_reaper.FindDeletable(lease, m_map, m_watch, aNow);
     }
   }
   if (m_lapsed_since) {
     suspects.insert(m_lease->Row().lease);
   }
   m_reaper.Retain(suspects);
-  if (endable.empty() || endable.size() > kGroupsAtOnce) {
+  if (deletable.empty() || deletable.size() > kMaxGroupsPerWrite) {
     return false;
   }
-  constexpr Duration kFresh = std::chrono::seconds(2);
-  if (aNow > m_leases_known_at + kFresh) {
+  constexpr Duration kMaxLeaseReadAge = std::chrono::seconds(2);
+  if (aNow > m_leases_known_at + kMaxLeaseReadAge) {
     m_must_reread = true;
     return false;
   }
   WriteRows write;
-  write.deletes = std::move(endable);
+  write.deletes = std::move(deletable);
   Write(std::move(write));
   return true;
 }
@@ -607,12 +612,12 @@
 }
 
 bool
-Ownership::Impl::Claim(Instant aNow)
+Ownership::Impl::ClaimGroups(Instant aNow)
 {
   if (aNow < m_claim_at || !HasValidLease(aNow) || m_leaving_since) {
     return false;
   }
-  m_claim_at = aNow + kLookEvery;
+  m_claim_at = aNow + kClaimInterval;
   const auto candidates = Candidates(aNow);
   WriteRows write;
   std::set<Incarnation> ended;
@@ -625,7 +630,8 @@
     }
     const Instant due = m_due_since.try_emplace(key, aNow).first->second;
     const auto delay = DelayFor(group.View(), candidates);
-    if (!delay || aNow < due + *delay || write.puts.size() >= kGroupsAtOnce) {
+    if (!delay || aNow < due + *delay ||
+        write.puts.size() >= kMaxGroupsPerWrite) {
       continue;
     }
     GroupRow row = known == nullptr ? GroupRow{ group, {}, 0, 0 } : *known;
@@ -633,7 +639,7 @@
       ended.insert(row.owner);
     }
     row.owner = m_lease->Row().lease;
-    row.epoch = NextClaim(row.epoch);
+    row.epoch = NextClaimEpoch(row.epoch);
     write.puts.emplace_back(row);
   }
   if (write.puts.empty()) {
@@ -646,16 +652,16 @@
 }
 
 void
-Ownership::Impl::PickMoves(Instant aNow)
+Ownership::Impl::SelectMoves(Instant aNow)
 {
   const bool leaving = m_leaving_since.has_value();
   const bool settled =
-    aNow >= m_watch.ChangedAt() + m_options.rules.settle || leaving;
+    aNow >= m_watch.ChangedAt() + m_options.rules.settle_time || leaving;
   if (!settled || !m_gate.IsHealthy() || !HasValidLease(aNow)) {
     return;
   }
   const std::size_t most =
-    leaving ? kGroupsAtOnce : m_options.rules.moves_at_once;
+    leaving ? kMaxGroupsPerWrite : m_options.rules.max_concurrent_moves;
   auto moving = static_cast<std::size_t>(
     std::count_if(m_held.begin(), m_held.end(), [](const auto& aEntry) {
       return aEntry.second.moving;
@@ -683,7 +689,7 @@
 }
 
 bool
-Ownership::Impl::Move(Instant aNow)
+Ownership::Impl::MoveGroups(Instant aNow)
 {
   const auto candidates = Candidates(aNow);
   WriteRows write;
@@ -701,7 +707,7 @@
     const LeaseRow lease = *LeaseOf(home.front());
     GroupRow row = holding.row;
     row.owner = lease.lease;
-    row.epoch = NextClaim(holding.epoch);
+    row.epoch = NextClaimEpoch(holding.epoch);
     write.puts.emplace_back(row);
     to.emplace(lease.lease, lease);
   }
@@ -717,7 +723,7 @@
 }
 
 bool
-Ownership::Impl::Close()
+Ownership::Impl::CloseLease()
 {
   if (!m_leaving_since || !m_held.empty() || !m_inherited.empty()) {
     return false;
@@ -742,7 +748,7 @@
   if (!m_leaving_since) {
     return;
   }
-  const bool late = aNow >= *m_leaving_since + m_options.rules.resign_after;
+  const bool late = aNow >= *m_leaving_since + m_options.rules.resign_timeout;
   if (m_lease && !(late && !m_gate.IsHealthy())) {
     return;
   }
@@ -761,19 +767,19 @@
   if (aNow < m_announce_at) {
     return;
   }
-  m_announce_at = aNow + kAnnounceEvery;
+  m_announce_at = aNow + kAnnounceInterval;
   for (const auto& [group, holding] : m_held) {
     if (!holding.recorded) {
-      m_news.groups.push_back(holding.row);
-      m_news.groups.back().epoch = holding.epoch;
+      m_unannounced.groups.push_back(holding.row);
+      m_unannounced.groups.back().epoch = holding.epoch;
     }
   }
-  std::erase_if(m_handed, [aNow](const auto& aEntry) {
-    return aNow >= aEntry.second.at + kAnnounceHanded;
+  std::erase_if(m_handed_over, [aNow](const auto& aEntry) {
+    return aNow >= aEntry.second.at + kHandOverAnnouncePeriod;
   });
-  for (const auto& [group, handed] : m_handed) {
-    Send(handed.row.owner.instance,
-         OwnersAnnounce{ { handed.row }, {}, {} },
+  for (const auto& [group, hand_over] : m_handed_over) {
+    Send(hand_over.row.owner.instance,
+         OwnersAnnounce{ { hand_over.row }, {}, {} },
          aNow);
   }
 }
--- a/src/jujubehead/core/remote_clock.cpp
+++ b/src/jujubehead/core/remote_clock.cpp
@@ -8,14 +8,14 @@
 
 using std::chrono::milliseconds;
 
-/// Bounds that contradict each other by more than rounding are of a clock that
-/// was replaced.
-constexpr RemoteMs kRounding = 2;
-/// 3,000 years; what is beyond comes of a row that is garbage.
-constexpr RemoteMs kMostMs = 100'000'000'000'000;
-/// Two steady clocks drift apart by no more than 1 ms in so many: 200 in a
-/// million, twice what the crystals of servers are sold with.
-constexpr RemoteMs kMsOfDrift = 5000;
+/// Bounds that contradict each other by more than rounding come from a clock
+/// that was replaced.
+constexpr RemoteMs kRoundingMs = 2;
+/// About 3,000 years; a value beyond it comes from a corrupt row.
+constexpr RemoteMs kMaxMs = 100'000'000'000'000;
+/// Two steady clocks are assumed to drift apart by at most 1 ms in this many:
+/// 200 ppm, twice the specified tolerance of server crystals.
+constexpr RemoteMs kMsPerMsOfDrift = 5000;
 
 RemoteMs
 Floor(Instant aWhen)
@@ -29,90 +29,91 @@
   return std::chrono::ceil<milliseconds>(aWhen.time_since_epoch()).count();
 }
 
-/// Rounded up, and for moments before the bound was known too.
+/// The result is rounded up. Also valid for instants before the bound was
+/// known.
 RemoteMs
 DriftOver(Duration aTime)
 {
   const RemoteMs ms =
     std::chrono::ceil<milliseconds>(std::chrono::abs(aTime)).count();
-  return (ms + kMsOfDrift - 1) / kMsOfDrift;
+  return (ms + kMsPerMsOfDrift - 1) / kMsPerMsOfDrift;
 }
 
 Instant
 InstantOf(RemoteMs aMs)
 {
-  const RemoteMs ms = std::clamp(aMs, -kMostMs, kMostMs);
+  const RemoteMs ms = std::clamp(aMs, -kMaxMs, kMaxMs);
   return Instant(std::chrono::duration_cast<Duration>(milliseconds(ms)));
 }
 
 } // namespace
 
 void
-RemoteClock::OnReading(RemoteMs aReading, Instant aAsked, Instant aHeard)
+RemoteClock::OnReading(RemoteMs aReading, Instant aSentAt, Instant aReceivedAt)
 {
-  OnBounds(aReading, aReading, aAsked, aHeard);
+  OnBounds(aReading, aReading, aSentAt, aReceivedAt);
 }
 
 void
-RemoteClock::OnBounds(RemoteMs aLeast,
-                      RemoteMs aMost,
-                      Instant aAsked,
-                      Instant aHeard)
+RemoteClock::OnBounds(RemoteMs aLower,
+                      RemoteMs aUpper,
+                      Instant aSentAt,
+                      Instant aReceivedAt)
 {
-  const Bound least{ aLeast - Ceil(aHeard), aHeard };
-  const Bound most{ aMost - Floor(aAsked), aAsked };
-  if (!m_is_known || least.offset > MostOffset(aHeard) + kRounding ||
-      most.offset < LeastOffset(aHeard) - kRounding) {
+  const Bound lower{ aLower - Ceil(aReceivedAt), aReceivedAt };
+  const Bound upper{ aUpper - Floor(aSentAt), aSentAt };
+  if (!m_is_known || lower.offset > UpperOffset(aReceivedAt) + kRoundingMs ||
+      upper.offset < LowerOffset(aReceivedAt) - kRoundingMs) {
     m_is_known = true;
-    m_least = least;
-    m_most = most;
+    m_lower = lower;
+    m_upper = upper;
     return;
   }
-  if (least.offset >= LeastOffset(aHeard)) {
-    m_least = least;
+  if (lower.offset >= LowerOffset(aReceivedAt)) {
+    m_lower = lower;
   }
-  if (most.offset <= MostOffset(aHeard)) {
-    m_most = most;
+  if (upper.offset <= UpperOffset(aReceivedAt)) {
+    m_upper = upper;
   }
 }
 
 RemoteMs
-RemoteClock::LeastOffset(Instant aWhen) const
+RemoteClock::LowerOffset(Instant aWhen) const
 {
-  return m_least.offset - DriftOver(aWhen - m_least.since);
+  return m_lower.offset - DriftOver(aWhen - m_lower.since);
 }
 
 RemoteMs
-RemoteClock::MostOffset(Instant aWhen) const
+RemoteClock::UpperOffset(Instant aWhen) const
 {
-  return m_most.offset + DriftOver(aWhen - m_most.since);
+  return m_upper.offset + DriftOver(aWhen - m_upper.since);
 }
 
 std::optional<RemoteMs>
 RemoteClock::LeastAt(Instant aWhen) const
 {
-  return m_is_known ? std::optional(LeastOffset(aWhen) + Floor(aWhen))
+  return m_is_known ? std::optional(LowerOffset(aWhen) + Floor(aWhen))
                     : std::nullopt;
 }
 
 std::optional<RemoteMs>
 RemoteClock::MostAt(Instant aWhen) const
 {
-  return m_is_known ? std::optional(MostOffset(aWhen) + Ceil(aWhen))
+  return m_is_known ? std::optional(UpperOffset(aWhen) + Ceil(aWhen))
                     : std::nullopt;
 }
 
 std::optional<Instant>
 RemoteClock::LatestOf(RemoteMs aReading, Instant aNow) const
 {
-  return m_is_known ? std::optional(InstantOf(aReading - LeastOffset(aNow)))
+  return m_is_known ? std::optional(InstantOf(aReading - LowerOffset(aNow)))
                     : std::nullopt;
 }
 
 std::optional<Instant>
 RemoteClock::EarliestOf(RemoteMs aReading, Instant aNow) const
 {
-  return m_is_known ? std::optional(InstantOf(aReading - MostOffset(aNow)))
+  return m_is_known ? std::optional(InstantOf(aReading - UpperOffset(aNow)))
                     : std::nullopt;
 }
 
--- a/src/jujubehead/core/remote_clock_test.cpp
+++ b/src/jujubehead/core/remote_clock_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr RemoteMs kAhead = 5000; ///< Its reading when ours is 0.
+constexpr RemoteMs kOffsetMs = 5000; ///< Remote reading at local 0.
 
 Instant
 At(int aMs)
@@ -33,19 +33,19 @@
   CHECK_FALSE(clock.LatestOf(1, At(1)).has_value());
 }
 
-TEST(RemoteClock, AReadingLiesBetweenQuestionAndAnswer)
+TEST(RemoteClock, AReadingIsBoundedByRequestAndReply)
 {
-  clock.OnReading(kAhead + 110, At(100), At(130));
-  LONGS_EQUAL(kAhead + 110, *clock.LeastAt(At(130)));
-  // A ms more, as it may have drifted since the question.
-  LONGS_EQUAL(kAhead + 141, *clock.MostAt(At(130)));
-  CHECK(At(220) == *clock.LatestOf(kAhead + 200, At(130)));
-  CHECK(At(189) == *clock.EarliestOf(kAhead + 200, At(130)));
+  clock.OnReading(kOffsetMs + 110, At(100), At(130));
+  LONGS_EQUAL(kOffsetMs + 110, *clock.LeastAt(At(130)));
+  // 1 ms more, for possible drift since the request.
+  LONGS_EQUAL(kOffsetMs + 141, *clock.MostAt(At(130)));
+  CHECK(At(220) == *clock.LatestOf(kOffsetMs + 200, At(130)));
+  CHECK(At(189) == *clock.EarliestOf(kOffsetMs + 200, At(130)));
 }
 
-TEST(RemoteClock, AClockThatWasReplacedIsFollowed)
+TEST(RemoteClock, AReplacedClockResetsTheBounds)
 {
-  clock.OnReading(kAhead + 110, At(100), At(130));
+  clock.OnReading(kOffsetMs + 110, At(100), At(130));
   clock.OnReading(50, At(200), At(210));
   LONGS_EQUAL(50, *clock.LeastAt(At(210)));
   LONGS_EQUAL(61, *clock.MostAt(At(210)));
@@ -53,26 +53,27 @@
 
 namespace {
 
-/// Ways there and back, in ms, one question after the other.
-using Ways = std::vector<std::pair<int, int>>;
+/// Request and reply delays in ms, of consecutive queries.
+using Delays = std::vector<std::pair<int, int>>;
 
-/// @param aFaster how many ms a clock gains in 100 s.
+/// @param aGainMs what the remote clock gains in 100 s.
 bool
-HoldsTheTruth(int aFaster, const Ways& aWays)
+BoundsContainReading(int aGainMs, const Delays& aDelays)
 {
   RemoteClock clock;
   std::int64_t now = 0;
-  const auto truth = [&] { return kAhead + now + now * aFaster / 100000; };
-  for (const auto& [there, back] : aWays) {
-    const Instant asked{ milliseconds(now) };
-    now += there;
-    const RemoteMs reading = truth();
-    now += back;
-    const Instant heard{ milliseconds(now) };
-    clock.OnReading(reading, asked, heard);
-    if (*clock.LeastAt(heard) > truth() || *clock.MostAt(heard) < truth() ||
-        *clock.EarliestOf(truth(), heard) > heard ||
-        *clock.LatestOf(truth(), heard) < heard) {
+  const auto actual = [&] { return kOffsetMs + now + now * aGainMs / 100000; };
+  for (const auto& [request_ms, reply_ms] : aDelays) {
+    const Instant sent_at{ milliseconds(now) };
+    now += request_ms;
+    const RemoteMs reading = actual();
+    now += reply_ms;
+    const Instant received_at{ milliseconds(now) };
+    clock.OnReading(reading, sent_at, received_at);
+    if (*clock.LeastAt(received_at) > actual() ||
+        *clock.MostAt(received_at) < actual() ||
+        *clock.EarliestOf(actual(), received_at) > received_at ||
+        *clock.LatestOf(actual(), received_at) < received_at) {
       return false;
     }
   }
@@ -80,26 +81,26 @@
 }
 
 bool
-HoldsTheTruthWhateverTheWays(int aFaster)
+BoundsContainReadingForAnyDelays(int aGainMs)
 {
-  return rc::check("the truth is within the bounds", [&] {
-    const auto way = rc::gen::weightedOneOf<int>(
+  return rc::check("the actual reading is within the bounds", [&] {
+    const auto delay = rc::gen::weightedOneOf<int>(
       { { 4, rc::gen::inRange(0, 50) }, { 1, rc::gen::inRange(0, 90000) } });
-    RC_ASSERT(HoldsTheTruth(
-      aFaster, *rc::gen::container<Ways>(rc::gen::pair(way, way))));
+    RC_ASSERT(BoundsContainReading(
+      aGainMs, *rc::gen::container<Delays>(rc::gen::pair(delay, delay))));
   });
 }
 
 } // namespace
 
-TEST(RemoteClock, TheTruthLiesWithinItsBoundsWhateverTheWaysTake)
+TEST(RemoteClock, TheActualReadingIsWithinTheBoundsForAnyDelays)
 {
-  CHECK(HoldsTheTruthWhateverTheWays(0));
-  CHECK(HoldsTheTruthWhateverTheWays(15));
-  CHECK(HoldsTheTruthWhateverTheWays(-15));
+  CHECK(BoundsContainReadingForAnyDelays(0));
+  CHECK(BoundsContainReadingForAnyDelays(15));
+  CHECK(BoundsContainReadingForAnyDelays(-15));
 }
 
-TEST(RemoteClock, TheCheckFindsAClockThatDriftsMoreThanIsBorne)
+TEST(RemoteClock, TheCheckDetectsAClockBeyondTheAssumedDrift)
 {
-  CHECK_FALSE(HoldsTheTruthWhateverTheWays(300));
+  CHECK_FALSE(BoundsContainReadingForAnyDelays(300));
 }
--- a/src/jujubehead/core/retry_budget.cpp
+++ b/src/jujubehead/core/retry_budget.cpp
@@ -6,24 +6,24 @@
 
 RetryBudget::RetryBudget(RetryBudgetOptions aOptions)
   : m_options(aOptions)
-  , m_saved(aOptions.burst)
+  , m_balance(aOptions.burst)
 {
 }
 
 void
 RetryBudget::OnRequest()
 {
-  m_saved = std::min(m_saved + m_options.per_request, m_options.burst);
+  m_balance = std::min(m_balance + m_options.per_request, m_options.burst);
 }
 
 bool
 RetryBudget::TryRetry()
 {
-  if (m_saved < 1) {
+  if (m_balance < 1) {
     ++m_denied;
     return false;
   }
-  m_saved -= 1;
+  m_balance -= 1;
   ++m_retries;
   return true;
 }
--- a/src/jujubehead/core/retry_budget_test.cpp
+++ b/src/jujubehead/core/retry_budget_test.cpp
@@ -27,7 +27,7 @@
   }));
 }
 
-TEST(RetryBudget, ABudgetThatIsUsedUpFillsAgainWithRequests)
+TEST(RetryBudget, RequestsRefillAnExhaustedBudget)
 {
   RetryBudget budget({ 0.5, 1 });
   CHECK(budget.TryRetry());
--- a/src/jujubehead/core/runtime_clock.cpp
+++ b/src/jujubehead/core/runtime_clock.cpp
@@ -6,20 +6,22 @@
 namespace jujubehead::core {
 namespace {
 
-// When paused: the reading. When running: what is added to the boot clock.
+// gPausedAt is the reading while paused; gBootOffset is added to CLOCK_BOOTTIME
+// while running.
 std::atomic<RuntimeClock::rep> gPausedAt{ 0 };
-std::atomic<RuntimeClock::rep> gOffset{ 0 };
+std::atomic<RuntimeClock::rep> gBootOffset{ 0 };
 std::atomic<bool> gPaused{ false };
 
-constexpr RuntimeClock::rep kMicrosOfSecond = 1000000;
-constexpr RuntimeClock::rep kNanosOfMicro = 1000;
+constexpr RuntimeClock::rep kMicrosPerSecond = 1000000;
+constexpr RuntimeClock::rep kNanosPerMicro = 1000;
 
 RuntimeClock::rep
 BootReading() noexcept
 {
   timespec reading{};
-  (void)clock_gettime(CLOCK_BOOTTIME, &reading); // Fails for unknown ids only.
-  return reading.tv_sec * kMicrosOfSecond + reading.tv_nsec / kNanosOfMicro;
+  (void)clock_gettime(CLOCK_BOOTTIME,
+                      &reading); // Fails only for unknown clock ids.
+  return reading.tv_sec * kMicrosPerSecond + reading.tv_nsec / kNanosPerMicro;
 }
 
 } // namespace
@@ -29,7 +31,7 @@
 {
   const rep reading = gPaused.load(std::memory_order_acquire)
                         ? gPausedAt.load(std::memory_order_acquire)
-                        : BootReading() + gOffset.load();
+                        : BootReading() + gBootOffset.load();
   return time_point(duration(reading));
 }
 
@@ -55,7 +57,7 @@
 void
 RuntimeClock::Resume() noexcept
 {
-  gOffset.store(gPausedAt.load() - BootReading());
+  gBootOffset.store(gPausedAt.load() - BootReading());
   gPaused.store(false, std::memory_order_release);
 }
 
--- a/src/jujubehead/core/service_estimate.hpp
+++ b/src/jujubehead/core/service_estimate.hpp
@@ -8,29 +8,30 @@
 
 namespace jujubehead::core {
 
-/// @brief Learns how long runs occupy a place: moving averages of the time and
-/// of the tokens of a run.
+/// @brief Estimates how long a run occupies a slot, from moving averages of run
+/// time and run tokens.
 class ServiceEstimate
 {
 public:
   void Learn(std::uint32_t aTokens, Duration aUsed)
   {
-    const double weight = m_samples < kWindow ? 1.0 / (m_samples + 1) : kStep;
-    m_samples = std::min(m_samples + 1, kWindow);
+    const double weight =
+      m_samples < kWindowSamples ? 1.0 / (m_samples + 1) : kSampleWeight;
+    m_samples = std::min(m_samples + 1, kWindowSamples);
     m_seconds += weight * (Seconds(aUsed) - m_seconds);
     m_tokens += weight * (std::max<double>(aTokens, 1) - m_tokens);
   }
 
   [[nodiscard]] bool IsKnown() const { return m_samples > 0; }
 
-  /// @return the expected time of an average run.
+  /// @return the mean run time.
   [[nodiscard]] Duration Mean() const { return ToDuration(m_seconds); }
 
-  /// @return the expected time of a run of so many tokens.
+  /// @return the expected run time for `aTokens` tokens.
   [[nodiscard]] Duration For(std::uint32_t aTokens) const
   {
     const double scale = std::max<double>(aTokens, 1) / std::max(m_tokens, 1.0);
-    return ToDuration(m_seconds * std::clamp(scale, kLeast, kMost));
+    return ToDuration(m_seconds * std::clamp(scale, kMinScale, kMaxScale));
   }
 
   static double Seconds(Duration aTime)
@@ -45,10 +46,10 @@
       std::chrono::duration<double>(aSeconds));
   }
 
-  static constexpr std::uint32_t kWindow = 20;
-  static constexpr double kStep = 1.0 / kWindow;
-  static constexpr double kLeast = 0.1;
-  static constexpr double kMost = 10;
+  static constexpr std::uint32_t kWindowSamples = 20;
+  static constexpr double kSampleWeight = 1.0 / kWindowSamples;
+  static constexpr double kMinScale = 0.1;
+  static constexpr double kMaxScale = 10;
 
   double m_seconds = 0;
   double m_tokens = 0;
--- a/src/jujubehead/core/service_gate.hpp
+++ b/src/jujubehead/core/service_gate.hpp
@@ -8,74 +8,76 @@
 
 namespace jujubehead::core {
 
-/// @brief Lets one operation of the table service run at a time, and waits
-/// longer after each failure, with jitter.
+/// @brief Allows one table service operation at a time, with exponential
+/// backoff and jitter after failures.
 class ServiceGate
 {
 public:
   ServiceGate(OwnershipRules aRules, std::uint64_t aSeed)
     : m_rules(aRules)
     , m_random(aSeed)
-    , m_wait(aRules.service_retry_least)
+    , m_backoff(aRules.service_retry_min)
   {
   }
 
   [[nodiscard]] bool IsOpen(Instant aNow) const
   {
-    return m_busy == 0 && aNow >= m_next;
+    return m_active_token == 0 && aNow >= m_next_at;
   }
-  /// @return whether the last operation was answered.
+  /// @return whether the last operation got a response.
   [[nodiscard]] bool IsHealthy() const { return m_healthy; }
   [[nodiscard]] bool IsBusyWith(std::uint64_t aToken) const
   {
-    return m_busy == aToken;
+    return m_active_token == aToken;
   }
 
-  /// @return the token of an operation that begins.
-  std::uint64_t Begin() { return m_busy = ++m_last; }
+  /// @brief Begins an operation.
+  /// @return its token.
+  std::uint64_t Begin() { return m_active_token = ++m_last_token; }
 
   void Succeeded()
   {
-    m_busy = 0;
+    m_active_token = 0;
     m_healthy = true;
-    m_wait = m_rules.service_retry_least;
+    m_backoff = m_rules.service_retry_min;
   }
 
   void Failed(Instant aNow)
   {
-    m_busy = 0;
+    m_active_token = 0;
     m_healthy = false;
-    m_next = aNow + m_wait / 2 + Jitter(m_wait);
-    m_wait = std::min(m_wait * 2, m_rules.service_retry_most);
+    m_next_at = aNow + m_backoff / 2 + Jitter(m_backoff);
+    m_backoff = std::min(m_backoff * 2, m_rules.service_retry_max);
   }
 
-  /// @brief A condition failed: somebody else writes too.
-  void Lost(Instant aNow)
+  /// @brief Ends an operation whose condition failed because of a concurrent
+  /// writer.
+  void Conflicted(Instant aNow)
   {
     Succeeded();
-    m_next = aNow + Jitter(m_rules.service_retry_least);
+    m_next_at = aNow + Jitter(m_rules.service_retry_min);
   }
 
-  void HoldUntil(Instant aTime) { m_next = std::max(m_next, aTime); }
+  void HoldUntil(Instant aTime) { m_next_at = std::max(m_next_at, aTime); }
 
-  /// @return a random part of a duration.
-  Duration Jitter(Duration aMost)
+  /// @return a random duration from 0 to `aMax`.
+  Duration Jitter(Duration aMax)
   {
     constexpr std::uint64_t kMultiplier = 6364136223846793005U;
     constexpr std::uint64_t kIncrement = 1442695040888963407U;
     constexpr unsigned kShift = 33;
     m_random = m_random * kMultiplier + kIncrement;
-    const auto most = static_cast<std::uint64_t>(aMost.count());
+    const auto most = static_cast<std::uint64_t>(aMax.count());
     return Duration((m_random >> kShift) % (most + 1));
   }
 
 private:
   OwnershipRules m_rules;
   std::uint64_t m_random;
-  Duration m_wait;
-  Instant m_next;
-  std::uint64_t m_busy = 0;
-  std::uint64_t m_last = 0;
+  Duration m_backoff;
+  Instant m_next_at;
+  std::uint64_t m_active_token = 0;
+  std::uint64_t m_last_token = 0;
   bool m_healthy = true;
 };
 
