--- a/include/jujubehead/core/ownership.hpp
+++ b/include/jujubehead/core/ownership.hpp
@@ -186,7 +186,7 @@
   void OnMessage(const InstanceId& aFrom,
                  const OwnershipMessage& aMessage,
                  Instant aNow);
-  void OnHandedOver(const HandedOver& aHanded, Instant aNow);
+  void OnHandedOver(const HandedOver& aHandover, Instant aNow);
   void OnWritten(std::uint64_t aToken, WriteOutcome aOutcome, Instant aNow);
   void OnRead(const RowsRead& aRead, Instant aNow);
   void Tick(Instant aNow);
--- a/include/jujubehead/core/ownership_messages.hpp
+++ b/include/jujubehead/core/ownership_messages.hpp
@@ -178,7 +178,7 @@
   Incarnation voter;
   Vote vote = Vote::kAlive;
   Incarnation voted_for;
-  Duration lapsed_since{}; ///< Time since the lease expired at the voter.
+  Duration expired_for{}; ///< Time since the lease expired at the voter.
   std::uint64_t config = 0;
   OwnedList list;
 
@@ -189,7 +189,7 @@
                     aSelf.voter,
                     aSelf.vote,
                     aSelf.voted_for,
-                    aSelf.lapsed_since,
+                    aSelf.expired_for,
                     aSelf.config,
                     aSelf.list);
   }
--- a/src/jujubehead/core/fair_queue.cpp
+++ b/src/jujubehead/core/fair_queue.cpp
@@ -249,11 +249,11 @@
 }
 
 double
-FairQueue::BusyWeight(const Account& aWith) const
+FairQueue::BusyWeight(const Account& aIncluded) const
 {
   double weight = 0;
   for (const auto& [id, account] : m_accounts) {
-    if (IsBusy(account) || &account == &aWith) {
+    if (IsBusy(account) || &account == &aIncluded) {
       weight += account.share.weight;
     }
   }
@@ -271,14 +271,14 @@
     return {};
   }
   const Account& account = found->second;
-  const bool below = account.running + aAhead < account.share.max_running;
-  if (below && aAhead + m_size < aFreeSlots) {
+  const bool below_limit = account.running + aAhead < account.share.max_running;
+  if (below_limit && aAhead + m_size < aFreeSlots) {
     return {};
   }
   const double share =
     aSlots * static_cast<double>(account.share.weight) / BusyWeight(account);
-  const double most = std::max<double>(account.share.max_running, 1);
-  const double slots = std::clamp(share, 0.1, most);
+  const double limit = std::max<double>(account.share.max_running, 1);
+  const double slots = std::clamp(share, 0.1, limit);
   const Duration service = account.service.IsKnown() ? account.service.Mean()
                            : m_service.IsKnown()     ? m_service.Mean()
                                                      : Duration{};
--- a/src/jujubehead/core/fair_queue.hpp
+++ b/src/jujubehead/core/fair_queue.hpp
@@ -93,7 +93,7 @@
   [[nodiscard]] Account* SelectAccount(Instant aActiveSince);
   [[nodiscard]] Duration Estimate(const Account& aAccount,
                                   std::uint32_t aTokens) const;
-  [[nodiscard]] double BusyWeight(const Account& aWith) const;
+  [[nodiscard]] double BusyWeight(const Account& aIncluded) const;
   void Erase(Account& aAccount, std::map<Order, WaitingRequest>::iterator aAt);
 
   std::map<AccountId, Account> m_accounts;
--- a/src/jujubehead/core/lease_holder.cpp
+++ b/src/jujubehead/core/lease_holder.cpp
@@ -28,46 +28,46 @@
 {
   m_list.version = 1;
   for (const Incarnation& witness : m_row.witnesses) {
-    Slot slot;
-    slot.witness = witness;
-    slot.last_reply_at = aNow;
-    m_slots.push_back(std::move(slot));
+    WitnessState state;
+    state.witness = witness;
+    state.last_reply_at = aNow;
+    m_states.push_back(std::move(state));
   }
 }
 
 Instant
-LeaseHolder::Until() const
+LeaseHolder::ExpiresAt() const
 {
-  if (m_slots.empty()) {
+  if (m_states.empty()) {
     return Instant::max();
   }
-  Instant until = Instant::min();
-  for (const Slot& slot : m_slots) {
-    if (slot.counts && slot.acked) {
-      until = std::max(until, *slot.acked + m_rules.lease);
+  Instant expires_at = Instant::min();
+  for (const WitnessState& state : m_states) {
+    if (state.counts && state.acked) {
+      expires_at = std::max(expires_at, *state.acked + m_rules.lease);
     }
   }
-  return until;
+  return expires_at;
 }
 
 void
 LeaseHolder::Apply(const LeaseRow& aRow, bool aAllCount, Instant aNow)
 {
-  std::vector<Slot> slots;
+  std::vector<WitnessState> states;
   for (const Incarnation& witness : aRow.witnesses) {
-    if (const Slot* known = Find(witness)) {
-      slots.push_back(*known);
-      slots.back().counts = known->counts || aAllCount;
+    if (const WitnessState* known = Find(witness)) {
+      states.push_back(*known);
+      states.back().counts = known->counts || aAllCount;
       continue;
     }
-    Slot slot;
-    slot.witness = witness;
-    slot.counts = aAllCount;
-    slot.last_reply_at = aNow;
-    slots.push_back(std::move(slot));
+    WitnessState state;
+    state.witness = witness;
+    state.counts = aAllCount;
+    state.last_reply_at = aNow;
+    states.push_back(std::move(state));
   }
   m_row = aRow;
-  m_slots = std::move(slots);
+  m_states = std::move(states);
   m_renew_at = aNow;
 }
 
@@ -85,25 +85,26 @@
 bool
 LeaseHolder::IsKnown(std::uint64_t aVersion) const
 {
-  return m_slots.empty() ||
-         std::any_of(m_slots.begin(), m_slots.end(), [&](const Slot& aSlot) {
-           return aSlot.counts && aSlot.acked && aSlot.version >= aVersion;
-         });
+  return m_states.empty() ||
+         std::any_of(
+           m_states.begin(), m_states.end(), [&](const WitnessState& aState) {
+             return aState.counts && aState.acked && aState.version >= aVersion;
+           });
 }
 
 bool
 LeaseHolder::IsUpToDate(const Incarnation& aWitness) const
 {
-  const Slot* slot = Find(aWitness);
-  return slot != nullptr && slot->counts && slot->acked &&
-         slot->version == m_list.version;
+  const WitnessState* state = Find(aWitness);
+  return state != nullptr && state->counts && state->acked &&
+         state->version == m_list.version;
 }
 
 LeaseRenew
-LeaseHolder::Renewal(const Slot& aSlot, Instant aNow) const
+LeaseHolder::Renewal(const WitnessState& aState, Instant aNow) const
 {
   LeaseRenew renew{ m_row, MarkOf(aNow), m_list.version, {} };
-  if (aSlot.version < m_list.version) {
+  if (aState.version < m_list.version) {
     renew.list.push_back(m_list);
   }
   return renew;
@@ -117,9 +118,9 @@
     return messages;
   }
   m_renew_at = aNow + m_rules.renew_interval;
-  for (const Slot& slot : m_slots) {
-    if (!slot.refused && !slot.replaced) {
-      messages.push_back({ slot.witness.instance, Renewal(slot, aNow) });
+  for (const WitnessState& state : m_states) {
+    if (!state.refused && !state.replaced) {
+      messages.push_back({ state.witness.instance, Renewal(state, aNow) });
     }
   }
   return messages;
@@ -131,83 +132,84 @@
   if (aAck.lease != m_row.lease) {
     return;
   }
-  for (Slot& slot : m_slots) {
-    if (slot.witness.instance != aAck.witness.instance) {
+  for (WitnessState& state : m_states) {
+    if (state.witness.instance != aAck.witness.instance) {
       continue;
     }
-    slot.last_reply_at = aNow;
-    if (slot.witness != aAck.witness) {
-      slot.replaced = true;
+    state.last_reply_at = aNow;
+    if (state.witness != aAck.witness) {
+      state.replaced = true;
     } else if (!aAck.granted) {
-      slot.refused = true;
+      state.refused = true;
     } else {
-      slot.acked =
-        std::max(slot.acked.value_or(Instant::min()), TimeOf(aAck.mark));
-      slot.config = std::max(slot.config, aAck.config);
-      slot.version = std::max(slot.version, aAck.version);
+      state.acked =
+        std::max(state.acked.value_or(Instant::min()), TimeOf(aAck.mark));
+      state.config = std::max(state.config, aAck.config);
+      state.version = std::max(state.version, aAck.version);
     }
   }
   const bool confirmed = IsConfirmed();
-  for (Slot& slot : m_slots) {
-    slot.counts = slot.counts || confirmed;
+  for (WitnessState& state : m_states) {
+    state.counts = state.counts || confirmed;
   }
 }
 
 bool
 LeaseHolder::IsConfirmed() const
 {
-  return std::any_of(m_slots.begin(), m_slots.end(), [this](const Slot& aSlot) {
-    return aSlot.counts && aSlot.config >= m_row.rev;
-  });
+  return std::any_of(
+    m_states.begin(), m_states.end(), [this](const WitnessState& aState) {
+      return aState.counts && aState.config >= m_row.rev;
+    });
 }
 
-const LeaseHolder::Slot*
+const LeaseHolder::WitnessState*
 LeaseHolder::Find(const Incarnation& aWitness) const
 {
-  const auto found =
-    std::find_if(m_slots.begin(), m_slots.end(), [&](const Slot& aSlot) {
-      return aSlot.witness == aWitness;
+  const auto found = std::find_if(
+    m_states.begin(), m_states.end(), [&](const WitnessState& aState) {
+      return aState.witness == aWitness;
     });
-  return found == m_slots.end() ? nullptr : &*found;
+  return found == m_states.end() ? nullptr : &*found;
 }
 
 bool
 LeaseHolder::IsRefused() const
 {
-  return !m_slots.empty() &&
-         std::all_of(m_slots.begin(), m_slots.end(), [](const Slot& aSlot) {
-           return aSlot.refused;
-         });
+  return !m_states.empty() &&
+         std::all_of(m_states.begin(),
+                     m_states.end(),
+                     [](const WitnessState& aState) { return aState.refused; });
 }
 
 bool
 LeaseHolder::IsLost(const Incarnation& aWitness, Instant aNow) const
 {
-  const Slot* slot = Find(aWitness);
-  return slot == nullptr || slot->refused || slot->replaced ||
-         aNow >= slot->last_reply_at + m_rules.witness_timeout;
+  const WitnessState* state = Find(aWitness);
+  return state == nullptr || state->refused || state->replaced ||
+         aNow >= state->last_reply_at + m_rules.witness_timeout;
 }
 
 bool
 LeaseHolder::IsReplaced(const Incarnation& aWitness) const
 {
-  const Slot* slot = Find(aWitness);
-  return slot != nullptr && slot->replaced;
+  const WitnessState* state = Find(aWitness);
+  return state != nullptr && state->replaced;
 }
 
 bool
 LeaseHolder::IsAcking(const Incarnation& aWitness, Instant aNow) const
 {
-  const Slot* slot = Find(aWitness);
-  return slot != nullptr && !slot->refused && slot->acked &&
-         aNow < *slot->acked + m_rules.lease;
+  const WitnessState* state = Find(aWitness);
+  return state != nullptr && !state->refused && state->acked &&
+         aNow < *state->acked + m_rules.lease;
 }
 
 bool
 LeaseHolder::IsRefusedBy(const Incarnation& aWitness) const
 {
-  const Slot* slot = Find(aWitness);
-  return slot != nullptr && slot->refused;
+  const WitnessState* state = Find(aWitness);
+  return state != nullptr && state->refused;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/lease_holder.hpp
+++ b/src/jujubehead/core/lease_holder.hpp
@@ -18,7 +18,7 @@
   LeaseHolder(LeaseRow aRow, OwnershipRules aRules, Instant aNow);
 
   [[nodiscard]] const LeaseRow& Row() const { return m_row; }
-  [[nodiscard]] Instant Until() const;
+  [[nodiscard]] Instant ExpiresAt() const;
   /// @brief Applies a written row with changed witnesses.
   /// @param aAllCount whether acks of new witnesses count at once, because no
   /// earlier witness can take over any more. Otherwise they count once a
@@ -40,7 +40,8 @@
   std::vector<SendMessage> Renew(Instant aNow);
   void OnAck(const LeaseAck& aAck, Instant aNow);
 
-  /// @return whether every witness has permanently refused the lease.
+  /// @return whether there are witnesses and each has permanently refused the
+  /// lease.
   [[nodiscard]] bool IsRefused() const;
   /// @return whether that witness will not renew any more, or has not replied
   /// for OwnershipRules::witness_timeout.
@@ -53,7 +54,7 @@
   [[nodiscard]] bool IsRefusedBy(const Incarnation& aWitness) const;
 
 private:
-  struct Slot
+  struct WitnessState
   {
     Incarnation witness;
     bool counts = true; ///< False: new, not confirmed by another witness.
@@ -65,12 +66,13 @@
     std::uint64_t version = 0;
   };
 
-  [[nodiscard]] const Slot* Find(const Incarnation& aWitness) const;
-  [[nodiscard]] LeaseRenew Renewal(const Slot& aSlot, Instant aNow) const;
+  [[nodiscard]] const WitnessState* Find(const Incarnation& aWitness) const;
+  [[nodiscard]] LeaseRenew Renewal(const WitnessState& aState,
+                                   Instant aNow) const;
 
   LeaseRow m_row;
   OwnershipRules m_rules;
-  std::vector<Slot> m_slots;
+  std::vector<WitnessState> m_states;
   OwnedList m_list;
   Instant m_renew_at;
 };
--- a/src/jujubehead/core/lease_reaper.hpp
+++ b/src/jujubehead/core/lease_reaper.hpp
@@ -26,7 +26,7 @@
   {
   }
 
-  /// @brief Requests votes on a lease, first and again while unanswered.
+  /// @brief Requests votes on a lease, repeated at most once per second.
   /// @return the messages to send.
   std::vector<SendMessage> RequestVotes(const LeaseRow& aRow, Instant aNow);
   void OnVoteReply(const VoteReply& aReply);
--- a/src/jujubehead/core/lease_witness.cpp
+++ b/src/jujubehead/core/lease_witness.cpp
@@ -19,8 +19,8 @@
       aRenew.list.front().version > record.list.version) {
     record.list = aRenew.list.front();
   }
-  record.lapses_at =
-    std::max(record.lapses_at, aNow + m_rules.lease + m_rules.drift);
+  record.expires_at =
+    std::max(record.expires_at, aNow + m_rules.lease + m_rules.drift);
   ack.granted = true;
   ack.config = record.row.rev;
   ack.version = record.list.version;
@@ -32,7 +32,7 @@
 {
   const auto found = m_records.find(aLease);
   if (found != m_records.end()) {
-    found->second.lapses_at = std::min(found->second.lapses_at, aNow);
+    found->second.expires_at = std::min(found->second.expires_at, aNow);
   }
 }
 
@@ -41,7 +41,7 @@
                      const VoteRequest& aRequest,
                      Instant aNow) const
 {
-  if (aNow < aRecord.lapses_at) {
+  if (aNow < aRecord.expires_at) {
     return Vote::kAlive;
   }
   if (!aRequest.election) {
@@ -73,14 +73,14 @@
   Record& record = at->second;
   if (is_new) {
     // The holder may be about to send its first renewal to this witness.
-    record.lapses_at = aNow + m_rules.lease + m_rules.drift;
+    record.expires_at = aNow + m_rules.lease + m_rules.drift;
   }
   VoteReply reply;
   reply.lease = aRequest.lease;
   reply.voter = m_self;
   reply.vote = Decide(record, aRequest, aNow);
   reply.voted_for = record.voted_for;
-  reply.lapsed_since = std::max(aNow - record.lapses_at, Duration{});
+  reply.expired_for = std::max(aNow - record.expires_at, Duration{});
   reply.config = record.row.rev;
   if (aRequest.election && reply.vote == Vote::kGranted) {
     reply.list = record.list;
@@ -100,7 +100,7 @@
 {
   std::vector<Candidacy> candidacies;
   for (const auto& [lease, record] : m_records) {
-    if (record.state != State::kRenewing || aNow < record.lapses_at ||
+    if (record.state != State::kRenewing || aNow < record.expires_at ||
         !IsFirstWitness(record)) {
       continue;
     }
@@ -120,7 +120,7 @@
   }
   Record& record = found->second;
   if (aReply.vote == Vote::kGranted) {
-    record.agreed[aReply.voter] = aNow - aReply.lapsed_since;
+    record.agreed[aReply.voter] = aNow - aReply.expired_for;
     if (aReply.list.version > record.list.version) {
       record.list = aReply.list;
     }
@@ -141,14 +141,14 @@
     return std::nullopt;
   }
   Record& record = found->second;
-  const bool lapsed =
-    record.state == State::kRenewing && aNow >= record.lapses_at;
+  const bool expired =
+    record.state == State::kRenewing && aNow >= record.expires_at;
   // An empty list leaves nothing to take over, and the holder may continue with
   // other witnesses.
-  if (!lapsed || !IsFirstWitness(record) || record.list.groups.empty()) {
+  if (!expired || !IsFirstWitness(record) || record.list.groups.empty()) {
     return std::nullopt;
   }
-  Instant previous_end = record.lapses_at;
+  Instant previous_end = record.expires_at;
   for (const Incarnation& witness : record.row.witnesses) {
     if (witness == m_self) {
       continue;
@@ -165,12 +165,12 @@
 }
 
 std::size_t
-LeaseWitness::Watched(Instant aNow) const
+LeaseWitness::CountUnexpired(Instant aNow) const
 {
   return static_cast<std::size_t>(
     std::count_if(m_records.begin(), m_records.end(), [&](const auto& aEntry) {
       return aEntry.second.state == State::kRenewing &&
-             aNow < aEntry.second.lapses_at;
+             aNow < aEntry.second.expires_at;
     }));
 }
 
--- a/src/jujubehead/core/lease_witness.hpp
+++ b/src/jujubehead/core/lease_witness.hpp
@@ -50,7 +50,7 @@
                                 const Incarnation& aUnder,
                                 Instant aNow);
   /// @return the number of unexpired leases witnessed here.
-  [[nodiscard]] std::size_t Watched(Instant aNow) const;
+  [[nodiscard]] std::size_t CountUnexpired(Instant aNow) const;
 
 private:
   enum class State
@@ -64,7 +64,7 @@
   {
     LeaseRow row;
     OwnedList list;
-    Instant lapses_at;
+    Instant expires_at;
     State state = State::kRenewing;
     Incarnation voted_for;
     /// Witnesses that permanently refuse the lease, and when it expired there.
--- a/src/jujubehead/core/member_watch.cpp
+++ b/src/jujubehead/core/member_watch.cpp
@@ -90,11 +90,11 @@
     centres.emplace(member.id, member.data_centre);
   }
   std::vector<InstanceId> order = HomesOf(m_self.View(), ids, ids.size());
-  std::map<DataCentreId, int> used_in_centre;
+  std::map<DataCentreId, int> rounds_in_centre;
   std::map<InstanceId, int> round;
-  used_in_centre[m_data_centre] = static_cast<int>(order.size());
+  rounds_in_centre[m_data_centre] = static_cast<int>(order.size());
   for (const InstanceId& id : order) {
-    round[id] = used_in_centre[centres.at(id)]++;
+    round[id] = rounds_in_centre[centres.at(id)]++;
   }
   std::stable_sort(order.begin(),
                    order.end(),
--- a/src/jujubehead/core/ownership.cpp
+++ b/src/jujubehead/core/ownership.cpp
@@ -43,9 +43,9 @@
 }
 
 void
-Ownership::OnHandedOver(const HandedOver& aHanded, Instant aNow)
+Ownership::OnHandedOver(const HandedOver& aHandover, Instant aNow)
 {
-  m_impl->OnHandedOver(aHanded, aNow);
+  m_impl->OnHandedOver(aHandover, aNow);
 }
 
 void
--- a/src/jujubehead/core/ownership_impl.cpp
+++ b/src/jujubehead/core/ownership_impl.cpp
@@ -151,19 +151,19 @@
   for (const GroupRow& row : aAnnouncement.groups) {
     m_map.Put(row);
     if (row.owner.instance == aFrom) {
-      m_handed_over.erase(row.group);
+      m_pending_handovers.erase(row.group);
     }
     const auto held = m_held.find(row.group);
     if (held != m_held.end() && row.epoch > held->second.epoch) {
       Stop(row.group);
     }
-    const bool mine = m_lease && row.owner == m_lease->Row().lease;
-    if (mine && !m_held.contains(row.group)) {
+    const bool owned_here = m_lease && row.owner == m_lease->Row().lease;
+    if (owned_here && !m_held.contains(row.group)) {
       // The group was handed over, but the message with its permits may be
       // lost.
-      constexpr Duration kExpectedHandOverTime = std::chrono::seconds(1);
+      constexpr Duration kExpectedHandoverTime = std::chrono::seconds(1);
       m_reread.insert(row.group);
-      m_check_at = std::min(m_check_at, aNow + kExpectedHandOverTime);
+      m_check_at = std::min(m_check_at, aNow + kExpectedHandoverTime);
     }
   }
 }
@@ -184,17 +184,17 @@
 }
 
 void
-Ownership::Impl::OnHandedOver(const HandedOver& aHanded, Instant aNow)
+Ownership::Impl::OnHandedOver(const HandedOver& aHandover, Instant aNow)
 {
-  const GroupRow& row = aHanded.row;
-  const bool mine = m_lease && row.owner == m_lease->Row().lease;
+  const GroupRow& row = aHandover.row;
+  const bool owned_here = m_lease && row.owner == m_lease->Row().lease;
   const auto held = m_held.find(row.group);
-  if (!mine || held != m_held.end()) {
+  if (!owned_here || held != m_held.end()) {
     return;
   }
   StartOwning start;
-  start.is_handed = aHanded.complete;
-  start.held = aHanded.held;
+  start.is_handed = aHandover.complete;
+  start.held = aHandover.held;
   start.previous_end = aNow;
   Start(row, true, std::move(start));
 }
@@ -236,7 +236,7 @@
   }
   m_inherited.clear();
   m_lease.reset();
-  m_lapsed_since.reset();
+  m_expired_since.reset();
 }
 
 void
@@ -259,10 +259,10 @@
 Ownership::Impl::ApplyRow(const GroupRow& aRow, Instant aNow)
 {
   m_map.Put(aRow);
-  const bool mine = m_lease && aRow.owner == m_lease->Row().lease;
+  const bool owned_here = m_lease && aRow.owner == m_lease->Row().lease;
   const auto found = m_held.find(aRow.group);
   if (found == m_held.end()) {
-    if (mine) {
+    if (owned_here) {
       StartOwning start;
       start.is_first = aRow.rev == 1;
       start.previous_end = aNow;
@@ -271,7 +271,7 @@
     return;
   }
   Holding& holding = found->second;
-  if (mine && aRow.epoch == holding.epoch) {
+  if (owned_here && aRow.epoch == holding.epoch) {
     const bool written = aRow.rev > holding.row.rev;
     holding.row = aRow;
     holding.recorded = true;
@@ -282,7 +282,8 @@
   } else if (holding.moving) {
     m_actions.emplace_back(HandOverGroup{ aRow, holding.epoch });
     m_unannounced.groups.push_back(aRow);
-    m_handed_over.insert_or_assign(aRow.group, PendingHandOver{ aRow, aNow });
+    m_pending_handovers.insert_or_assign(aRow.group,
+                                         PendingHandover{ aRow, aNow });
     m_held.erase(found);
   } else {
     Stop(aRow.group);
@@ -412,7 +413,7 @@
   }
   m_gate.Succeeded();
   m_must_reread = false;
-  m_leases_known_at = m_read_asked_at;
+  m_leases_known_at = m_read_requested_at;
   m_map.ReplaceLeases(aRead.leases);
   std::erase_if(m_inherited, [this](const Incarnation& aLease) {
     return m_map.Lease(aLease) == nullptr;
@@ -493,7 +494,7 @@
 Instant
 Ownership::Impl::LeaseUntil() const
 {
-  return m_lease ? m_lease->Until() : Instant::min();
+  return m_lease ? m_lease->ExpiresAt() : Instant::min();
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/ownership_impl.hpp
+++ b/src/jujubehead/core/ownership_impl.hpp
@@ -29,7 +29,7 @@
   void OnMessage(const InstanceId& aFrom,
                  const OwnershipMessage& aMessage,
                  Instant aNow);
-  void OnHandedOver(const HandedOver& aHanded, Instant aNow);
+  void OnHandedOver(const HandedOver& aHandover, Instant aNow);
   void OnWritten(std::uint64_t aToken, WriteOutcome aOutcome, Instant aNow);
   void OnRead(const RowsRead& aRead, Instant aNow);
   void Tick(Instant aNow);
@@ -59,7 +59,7 @@
     std::uint64_t moving_since = 0; ///< First list version without it.
   };
 
-  struct PendingHandOver
+  struct PendingHandover
   {
     GroupRow row;
     Instant at;
@@ -88,7 +88,7 @@
 
   // ownership_tick.cpp: periodic work.
   void RenewLease(Instant aNow);
-  void HoldElections(Instant aNow);
+  void RunElections(Instant aNow);
   void TakeOver(const Takeover& aTakeover);
   void RunServiceOperation(Instant aNow);
   /// Schedules a read of the groups that are assigned to this instance but not
@@ -105,10 +105,10 @@
   [[nodiscard]] std::set<Incarnation> DueSuspects(
     const std::set<Incarnation>& aSuspects,
     Instant aNow);
-  void RequestVotesWithWitnesses(const Incarnation& aLease,
-                                 const std::set<Incarnation>& aSuspects,
-                                 std::set<Incarnation>& aRequested,
-                                 Instant aNow);
+  void RequestVotesRecursively(const Incarnation& aLease,
+                               const std::set<Incarnation>& aSuspects,
+                               std::set<Incarnation>& aRequested,
+                               Instant aNow);
   bool ClaimGroups(Instant aNow);
   bool MoveGroups(Instant aNow);
   bool CloseLease();
@@ -117,8 +117,8 @@
   void Write(WriteRows aWrite);
   /// @brief As Write(), limited to this instance's share of the total rate.
   /// @return whether it was written or is deferred.
-  bool WritePaced(WriteRows aWrite, double aRowsPerSecond, Instant aNow);
-  void AnnounceAgain(Instant aNow);
+  bool WriteRateLimited(WriteRows aWrite, double aRowsPerSecond, Instant aNow);
+  void RepeatAnnouncements(Instant aNow);
   [[nodiscard]] bool HasValidLease(Instant aNow) const;
   [[nodiscard]] std::vector<Incarnation> PickWitnesses(
     const std::vector<Incarnation>& aKept,
@@ -139,7 +139,7 @@
   [[nodiscard]] std::optional<Duration> DelayFor(
     std::string_view aKey,
     const std::vector<InstanceId>& aCandidates) const;
-  [[nodiscard]] bool IsFree(const GroupRow* aRow) const;
+  [[nodiscard]] bool IsUnowned(const GroupRow* aRow) const;
 
   OwnershipOptions m_options;
   Incarnation m_process;
@@ -157,31 +157,33 @@
   std::uint64_t m_leases_opened = 0;
   std::map<GroupId, Holding> m_held;
   std::set<GroupId> m_groups;
-  std::map<GroupId, PendingHandOver>
-    m_handed_over; ///< Not announced by the new owner yet.
-  std::map<InstanceId, Incarnation>
-    m_processes; ///< As they reported themselves.
-  std::map<InstanceId, Instant>
-    m_avoided_witnesses;             ///< Lost witnesses; when lost.
-  std::set<Incarnation> m_inherited; ///< Taken over; rows not deleted yet.
-  std::map<std::string, Instant> m_due_since; ///< By unowned group and suspect.
+  /// Not announced by the new owner yet.
+  std::map<GroupId, PendingHandover> m_pending_handovers;
+  /// As they reported themselves.
+  std::map<InstanceId, Incarnation> m_processes;
+  /// Lost witnesses; when lost.
+  std::map<InstanceId, Instant> m_avoided_witnesses;
+  /// Taken over; rows not deleted yet.
+  std::set<Incarnation> m_inherited;
+  /// By unowned group and suspect.
+  std::map<std::string, Instant> m_due_since;
 
   std::optional<WriteRows> m_write;
   std::optional<Instant> m_first_read_at;
-  std::optional<Instant> m_paced_until;
-  std::size_t m_paced_rows = 0;
+  std::optional<Instant> m_rate_limited_until;
+  std::size_t m_rate_limited_rows = 0;
   std::set<GroupId> m_reread;
   bool m_must_reread = false;
   bool m_reading_all = false;
   bool m_ready = false;
   Instant m_scan_at;
   Instant m_check_at;
-  Instant m_read_asked_at;
+  Instant m_read_requested_at;
   Instant m_leases_known_at; ///< Start of the last read of leases.
   Instant m_elect_at;
   Instant m_claim_at;
   Instant m_announce_at;
-  std::optional<Instant> m_lapsed_since;
+  std::optional<Instant> m_expired_since;
   std::optional<Instant> m_leaving_since;
   bool m_left = false;
 
--- a/src/jujubehead/core/ownership_tick.cpp
+++ b/src/jujubehead/core/ownership_tick.cpp
@@ -23,7 +23,7 @@
 constexpr Duration kAnnounceInterval = std::chrono::seconds(5);
 /// A handover is announced again to its new owner until that owner announces
 /// the group, at most for this long.
-constexpr Duration kHandOverAnnouncePeriod = std::chrono::minutes(2);
+constexpr Duration kHandoverAnnouncePeriod = std::chrono::minutes(2);
 
 /// Witnesses that are not in the next row but may still have to be asked for
 /// their vote.
@@ -58,17 +58,17 @@
     return;
   }
   RenewLease(aNow);
-  HoldElections(aNow);
+  RunElections(aNow);
   SelectMoves(aNow);
   RunServiceOperation(aNow);
-  AnnounceAgain(aNow);
+  RepeatAnnouncements(aNow);
   ResignIfStuck(aNow);
 }
 
 bool
 Ownership::Impl::HasValidLease(Instant aNow) const
 {
-  if (!m_lease || aNow >= m_lease->Until()) {
+  if (!m_lease || aNow >= m_lease->ExpiresAt()) {
     return false;
   }
   return !m_lease->Row().witnesses.empty() || m_watch.Others().empty();
@@ -83,27 +83,27 @@
   for (SendMessage& renewal : m_lease->Renew(aNow)) {
     m_actions.emplace_back(std::move(renewal));
   }
-  if (aNow < m_lease->Until()) {
-    m_lapsed_since.reset();
+  if (aNow < m_lease->ExpiresAt()) {
+    m_expired_since.reset();
     return;
   }
-  if (!m_lapsed_since) {
-    m_lapsed_since = aNow;
+  if (!m_expired_since) {
+    m_expired_since = aNow;
   }
   const auto& witnesses = m_lease->Row().witnesses;
   const bool refused =
     std::any_of(witnesses.begin(), witnesses.end(), [this](const auto& aOne) {
       return m_lease->IsRefusedBy(aOne);
     });
-  const bool long_lapsed =
-    aNow >= *m_lapsed_since + m_options.rules.witness_timeout;
-  if (m_lease->IsRefused() || (refused && long_lapsed)) {
+  const bool long_expired =
+    aNow >= *m_expired_since + m_options.rules.witness_timeout;
+  if (m_lease->IsRefused() || (refused && long_expired)) {
     LoseLease();
   }
 }
 
 void
-Ownership::Impl::HoldElections(Instant aNow)
+Ownership::Impl::RunElections(Instant aNow)
 {
   if (aNow < m_elect_at || !HasValidLease(aNow) || m_leaving_since) {
     return;
@@ -144,7 +144,7 @@
   if (!m_gate.IsOpen(aNow)) {
     return;
   }
-  m_read_asked_at = aNow;
+  m_read_requested_at = aNow;
   if (!m_ready || aNow >= m_scan_at) {
     ReadAll(aNow);
     return;
@@ -173,8 +173,8 @@
   const auto candidates = Candidates(aNow);
   for (const GroupId& group : m_groups) {
     const auto home = HomesOf(group.View(), candidates, 1);
-    const bool mine = !home.empty() && home.front() == m_options.self;
-    if (mine && !m_held.contains(group)) {
+    const bool assigned_here = !home.empty() && home.front() == m_options.self;
+    if (assigned_here && !m_held.contains(group)) {
       m_reread.insert(group);
     }
   }
@@ -221,7 +221,7 @@
 Ownership::Impl::Write(WriteRows aWrite)
 {
   if (m_lease) {
-    const bool touched =
+    const bool changes_lease =
       std::any_of(aWrite.puts.begin(), aWrite.puts.end(), [](const RowPut& aP) {
         return std::holds_alternative<LeaseRow>(aP);
       });
@@ -229,7 +229,7 @@
       aWrite.deletes.begin(), aWrite.deletes.end(), [this](const auto& aRow) {
         return aRow.lease == m_lease->Row().lease;
       });
-    if (!touched && !closing) {
+    if (!changes_lease && !closing) {
       aWrite.checks.push_back(m_lease->Row());
     }
   }
@@ -239,24 +239,25 @@
 }
 
 bool
-Ownership::Impl::WritePaced(WriteRows aWrite,
-                            double aRowsPerSecond,
-                            Instant aNow)
+Ownership::Impl::WriteRateLimited(WriteRows aWrite,
+                                  double aRowsPerSecond,
+                                  Instant aNow)
 {
   const std::size_t rows = aWrite.puts.size() + aWrite.deletes.size();
-  if (!m_paced_until || rows > m_paced_rows) {
+  if (!m_rate_limited_until || rows > m_rate_limited_rows) {
     const double spread = 2.0 * static_cast<double>(rows) *
                           static_cast<double>(m_watch.Others().size() + 1) /
                           aRowsPerSecond;
-    m_paced_until = aNow + m_gate.Jitter(std::chrono::duration_cast<Duration>(
-                             std::chrono::duration<double>(spread)));
-    m_paced_rows = rows;
+    m_rate_limited_until =
+      aNow + m_gate.Jitter(std::chrono::duration_cast<Duration>(
+               std::chrono::duration<double>(spread)));
+    m_rate_limited_rows = rows;
   }
-  if (aNow < *m_paced_until) {
+  if (aNow < *m_rate_limited_until) {
     return true;
   }
-  m_paced_until.reset();
-  m_paced_rows = 0;
+  m_rate_limited_until.reset();
+  m_rate_limited_rows = 0;
   Write(std::move(aWrite));
   return true;
 }
@@ -311,7 +312,7 @@
   LeaseRow row;
   row.lease = m_process;
   row.lease.number += ++m_leases_opened;
-  row.witnesses = PickWitnesses({}, m_read_asked_at);
+  row.witnesses = PickWitnesses({}, m_read_requested_at);
   m_opening = row;
   WriteRows write;
   write.puts.emplace_back(row);
@@ -347,7 +348,7 @@
   if (write.puts.empty() && write.deletes.empty()) {
     return false;
   }
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
@@ -411,22 +412,23 @@
   if (kept.empty() && !leaving.empty()) {
     kept.push_back(leaving.front());
   }
-  const bool has_survivor =
+  const bool has_current_witness =
     std::any_of(kept.begin(), kept.end(), [this](const Incarnation& aOne) {
       return m_lease->IsUpToDate(aOne);
     });
-  const bool is_free = row.witnesses.empty() || !m_lease_used;
-  if (!is_free && !has_survivor && !AreAllWitnessesReplaceable(aNow)) {
+  const bool is_unconstrained = row.witnesses.empty() || !m_lease_used;
+  if (!is_unconstrained && !has_current_witness &&
+      !AreAllWitnessesReplaceable(aNow)) {
     return std::nullopt;
   }
   LeaseRow next = row;
   next.witnesses = PickWitnesses(kept, aNow);
   next.former.clear();
   const bool fewer = next.witnesses.size() < row.witnesses.size();
-  if (next.witnesses.empty() || (fewer && has_survivor)) {
+  if (next.witnesses.empty() || (fewer && has_current_witness)) {
     return std::nullopt;
   }
-  if (has_survivor || is_free) {
+  if (has_current_witness || is_unconstrained) {
     next.former = DroppedWitnesses(row, next, m_lease->IsConfirmed());
   } else {
     m_safe_change = next;
@@ -444,7 +446,7 @@
   }
   WriteRows write;
   write.puts.emplace_back(*next);
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
@@ -535,11 +537,10 @@
 }
 
 void
-Ownership::Impl::RequestVotesWithWitnesses(
-  const Incarnation& aLease,
-  const std::set<Incarnation>& aSuspects,
-  std::set<Incarnation>& aRequested,
-  Instant aNow)
+Ownership::Impl::RequestVotesRecursively(const Incarnation& aLease,
+                                         const std::set<Incarnation>& aSuspects,
+                                         std::set<Incarnation>& aRequested,
+                                         Instant aNow)
 {
   const LeaseRow* found = m_map.Lease(aLease);
   if (found == nullptr || !aRequested.insert(aLease).second) {
@@ -559,7 +560,7 @@
         return aOne.IsSameProcess(suspect);
       });
     if (is_witness) {
-      RequestVotesWithWitnesses(suspect, aSuspects, aRequested, aNow);
+      RequestVotesRecursively(suspect, aSuspects, aRequested, aNow);
     }
   }
 }
@@ -579,14 +580,14 @@
   std::set<Incarnation> requested;
   std::vector<LeaseRow> deletable;
   for (const Incarnation& lease : due) {
-    RequestVotesWithWitnesses(lease, suspects, requested, aNow);
+    RequestVotesRecursively(lease, suspects, requested, aNow);
   }
   for (const Incarnation& lease : due) {
     if (deletable.empty()) {
       deletable = m_reaper.FindDeletable(lease, m_map, m_watch, aNow);
     }
   }
-  if (m_lapsed_since) {
+  if (m_expired_since) {
     suspects.insert(m_lease->Row().lease);
   }
   m_reaper.Retain(suspects);
@@ -605,7 +606,7 @@
 }
 
 bool
-Ownership::Impl::IsFree(const GroupRow* aRow) const
+Ownership::Impl::IsUnowned(const GroupRow* aRow) const
 {
   return aRow == nullptr || aRow->rev == 0 ||
          m_map.Lease(aRow->owner) == nullptr;
@@ -624,7 +625,7 @@
   for (const GroupId& group : m_groups) {
     const GroupRow* known = m_map.Group(group);
     const std::string key = "group " + group.Text();
-    if (!IsFree(known) || m_held.contains(group)) {
+    if (!IsUnowned(known) || m_held.contains(group)) {
       m_due_since.erase(key);
       continue;
     }
@@ -648,7 +649,8 @@
   for (const Incarnation& lease : ended) {
     write.checks.push_back({ lease, {}, {}, 0 });
   }
-  return WritePaced(std::move(write), m_options.rules.claims_per_second, aNow);
+  return WriteRateLimited(
+    std::move(write), m_options.rules.claims_per_second, aNow);
 }
 
 void
@@ -660,7 +662,7 @@
   if (!settled || !m_gate.IsHealthy() || !HasValidLease(aNow)) {
     return;
   }
-  const std::size_t most =
+  const std::size_t max_moves =
     leaving ? kMaxGroupsPerWrite : m_options.rules.max_concurrent_moves;
   auto moving = static_cast<std::size_t>(
     std::count_if(m_held.begin(), m_held.end(), [](const auto& aEntry) {
@@ -673,7 +675,7 @@
   for (auto& [group, holding] : m_held) {
     const auto home = HomesOf(group.View(), candidates, 1);
     const bool stays = home.empty() || home.front() == m_options.self;
-    if (stays || !holding.recorded || moving >= most) {
+    if (stays || !holding.recorded || moving >= max_moves) {
       continue;
     }
     holding.moving = true;
@@ -718,7 +720,7 @@
   for (const auto& [lease, row] : to) {
     write.checks.push_back(row);
   }
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
@@ -748,8 +750,9 @@
   if (!m_leaving_since) {
     return;
   }
-  const bool late = aNow >= *m_leaving_since + m_options.rules.resign_timeout;
-  if (m_lease && !(late && !m_gate.IsHealthy())) {
+  const bool timed_out =
+    aNow >= *m_leaving_since + m_options.rules.resign_timeout;
+  if (m_lease && !(timed_out && !m_gate.IsHealthy())) {
     return;
   }
   if (m_lease) {
@@ -762,7 +765,7 @@
 }
 
 void
-Ownership::Impl::AnnounceAgain(Instant aNow)
+Ownership::Impl::RepeatAnnouncements(Instant aNow)
 {
   if (aNow < m_announce_at) {
     return;
@@ -774,12 +777,12 @@
       m_unannounced.groups.back().epoch = holding.epoch;
     }
   }
-  std::erase_if(m_handed_over, [aNow](const auto& aEntry) {
-    return aNow >= aEntry.second.at + kHandOverAnnouncePeriod;
+  std::erase_if(m_pending_handovers, [aNow](const auto& aEntry) {
+    return aNow >= aEntry.second.at + kHandoverAnnouncePeriod;
   });
-  for (const auto& [group, hand_over] : m_handed_over) {
-    Send(hand_over.row.owner.instance,
-         OwnersAnnounce{ { hand_over.row }, {}, {} },
+  for (const auto& [group, handover] : m_pending_handovers) {
+    Send(handover.row.owner.instance,
+         OwnersAnnounce{ { handover.row }, {}, {} },
          aNow);
   }
 }
