--- a/include/jujubehead/core/retry_budget.hpp
+++ b/include/jujubehead/core/retry_budget.hpp
@@ -13,7 +13,7 @@
 };
 
 /// @brief Limits retries to a share of the requests, so that retries never
-/// multiply the load on overloaded targets.
+/// multiply the load on targets that are slow because of load.
 ///
 /// Each instance has its own budget. As every instance keeps within the share,
 /// so does the whole system.
