--- a/src/jujubehead/core/ownership_tick.cpp
+++ b/src/jujubehead/core/ownership_tick.cpp
@@ -8,25 +8,27 @@
 
 namespace {
 
-constexpr std::size_t kWitnesses = 2;
-/// Groups in one transaction, leaving room for checks and deletes.
-constexpr std::size_t kGroupsAtOnce = 80;
-/// A claim by the service ends with a multiple of this; takeovers by witnesses
-/// count up in between.
+constexpr std::size_t kWitnessCount = 2;
+/// Per transaction; leaves room for checks and deletes.
+constexpr std::size_t kMaxGroupsPerWrite = 80;
+/// Epochs of claims through the table service are multiples of this; takeovers
+/// by witnesses increment the epoch in between.
 constexpr std::uint64_t kEpochStride = 16;
-/// How much later the next candidate acts when the first does not.
-constexpr Duration kNextCandidate = std::chrono::seconds(15);
-constexpr std::size_t kCandidates = 3;
-/// Starts of a whole data centre at once are spread by this for each instance.
-constexpr Duration kSpreadOfStarts = std::chrono::milliseconds(20);
-constexpr Duration kLookEvery = std::chrono::seconds(1);
-constexpr Duration kAnnounceEvery = std::chrono::seconds(5);
-/// A new owner that does not announce a group is told of it again for so long.
-constexpr Duration kAnnounceHanded = std::chrono::minutes(2);
-
-/// Witnesses that are not in the next row, but may have to be asked.
+/// Delay of each further candidate behind the one before it.
+constexpr Duration kCandidateDelay = std::chrono::seconds(15);
+constexpr std::size_t kMaxCandidates = 3;
+/// Spreads the first reads when all instances of a data centre start at once.
+constexpr Duration kStartSpreadPerInstance = std::chrono::milliseconds(20);
+constexpr Duration kClaimInterval = std::chrono::seconds(1);
+constexpr Duration kAnnounceInterval = std::chrono::seconds(5);
+/// A handover is announced again to its new owner until that owner announces
+/// the group, at most for this long.
+constexpr Duration kHandoverAnnouncePeriod = std::chrono::minutes(2);
+
+/// Witnesses that are not in the next row but may still have to be asked for
+/// their vote.
 std::vector<Incarnation>
-Dropped(const LeaseRow& aRow, const LeaseRow& aNext, bool aConfirmed)
+DroppedWitnesses(const LeaseRow& aRow, const LeaseRow& aNext, bool aConfirmed)
 {
   std::vector<Incarnation> dropped;
   if (!aConfirmed) {
@@ -42,7 +44,7 @@
 }
 
 std::uint64_t
-NextClaim(std::uint64_t aEpoch)
+NextClaimEpoch(std::uint64_t aEpoch)
 {
   return (aEpoch / kEpochStride + 1) * kEpochStride;
 }
@@ -55,25 +57,25 @@
   if (m_left) {
     return;
   }
-  KeepLease(aNow);
-  HoldElections(aNow);
-  PickMoves(aNow);
-  UseService(aNow);
-  AnnounceAgain(aNow);
+  RenewLease(aNow);
+  RunElections(aNow);
+  SelectMoves(aNow);
+  RunServiceOperation(aNow);
+  RepeatAnnouncements(aNow);
   ResignIfStuck(aNow);
 }
 
 bool
 Ownership::Impl::HasValidLease(Instant aNow) const
 {
-  if (!m_lease || aNow >= m_lease->Until()) {
+  if (!m_lease || aNow >= m_lease->ExpiresAt()) {
     return false;
   }
   return !m_lease->Row().witnesses.empty() || m_watch.Others().empty();
 }
 
 void
-Ownership::Impl::KeepLease(Instant aNow)
+Ownership::Impl::RenewLease(Instant aNow)
 {
   if (!m_lease) {
     return;
@@ -81,36 +83,36 @@
   for (SendMessage& renewal : m_lease->Renew(aNow)) {
     m_actions.emplace_back(std::move(renewal));
   }
-  if (aNow < m_lease->Until()) {
-    m_lapsed_since.reset();
+  if (aNow < m_lease->ExpiresAt()) {
+    m_expired_since.reset();
     return;
   }
-  if (!m_lapsed_since) {
-    m_lapsed_since = aNow;
+  if (!m_expired_since) {
+    m_expired_since = aNow;
   }
   const auto& witnesses = m_lease->Row().witnesses;
   const bool refused =
     std::any_of(witnesses.begin(), witnesses.end(), [this](const auto& aOne) {
       return m_lease->IsRefusedBy(aOne);
     });
-  const bool long_lapsed =
-    aNow >= *m_lapsed_since + m_options.rules.witness_lost;
-  if (m_lease->IsRefused() || (refused && long_lapsed)) {
+  const bool long_expired =
+    aNow >= *m_expired_since + m_options.rules.witness_timeout;
+  if (m_lease->IsRefused() || (refused && long_expired)) {
     LoseLease();
   }
 }
 
 void
-Ownership::Impl::HoldElections(Instant aNow)
+Ownership::Impl::RunElections(Instant aNow)
 {
   if (aNow < m_elect_at || !HasValidLease(aNow) || m_leaving_since) {
     return;
   }
-  m_elect_at = aNow + m_options.rules.vote_retry;
+  m_elect_at = aNow + m_options.rules.vote_retry_interval;
   for (const Candidacy& candidacy : m_witness.Candidacies(aNow)) {
     if (const auto won =
           m_witness.Elect(candidacy.lease, m_lease->Row().lease, aNow)) {
-      Take(*won);
+      TakeOver(*won);
       continue;
     }
     for (const Incarnation& other : candidacy.others) {
@@ -121,36 +123,36 @@
 }
 
 void
-Ownership::Impl::Take(const Succession& aSuccession)
+Ownership::Impl::TakeOver(const Takeover& aTakeover)
 {
-  m_inherited.insert(aSuccession.lease);
-  for (GroupRow row : aSuccession.groups) {
+  m_inherited.insert(aTakeover.lease);
+  for (GroupRow row : aTakeover.groups) {
     if ((row.epoch + 1) % kEpochStride == 0 || m_held.contains(row.group)) {
       continue;
     }
     ++row.epoch;
     row.owner = m_lease->Row().lease;
     StartOwning start;
-    start.previous_end = aSuccession.previous_end;
+    start.previous_end = aTakeover.previous_end;
     Start(row, false, std::move(start));
   }
 }
 
 void
-Ownership::Impl::UseService(Instant aNow)
+Ownership::Impl::RunServiceOperation(Instant aNow)
 {
   if (!m_gate.IsOpen(aNow)) {
     return;
   }
-  m_read_asked_at = aNow;
+  m_read_requested_at = aNow;
   if (!m_ready || aNow >= m_scan_at) {
     ReadAll(aNow);
     return;
   }
   if (aNow >= m_check_at) {
-    m_check_at =
-      aNow + m_options.rules.gone_after + m_gate.Jitter(m_options.rules.jitter);
-    LookForOwn(aNow);
+    m_check_at = aNow + m_options.rules.member_timeout +
+                 m_gate.Jitter(m_options.rules.jitter);
+    RereadMissingGroups(aNow);
   }
   if (Reread() || OpenLease()) {
     return;
@@ -158,20 +160,21 @@
   if (!m_lease) {
     return;
   }
-  const bool done = Record(aNow) || ChangeWitnesses(aNow) || EndLeases(aNow) ||
-                    Claim(aNow) || Move(aNow) || Close();
+  const bool done = RecordGroups(aNow) || ChangeWitnesses(aNow) ||
+                    DeleteEndedLeases(aNow) || ClaimGroups(aNow) ||
+                    MoveGroups(aNow) || CloseLease();
   static_cast<void>(done);
 }
 
 void
-Ownership::Impl::LookForOwn(Instant aNow)
+Ownership::Impl::RereadMissingGroups(Instant aNow)
 {
   m_must_reread = true;
   const auto candidates = Candidates(aNow);
   for (const GroupId& group : m_groups) {
     const auto home = HomesOf(group.View(), candidates, 1);
-    const bool mine = !home.empty() && home.front() == m_options.self;
-    if (mine && !m_held.contains(group)) {
+    const bool assigned_here = !home.empty() && home.front() == m_options.self;
+    if (assigned_here && !m_held.contains(group)) {
       m_reread.insert(group);
     }
   }
@@ -182,7 +185,7 @@
 {
   if (!m_first_read_at) {
     const auto others = static_cast<Duration::rep>(m_watch.Others().size());
-    m_first_read_at = aNow + m_gate.Jitter(kSpreadOfStarts * others);
+    m_first_read_at = aNow + m_gate.Jitter(kStartSpreadPerInstance * others);
   }
   if (!m_watch.IsKnown() || aNow < *m_first_read_at) {
     return;
@@ -196,8 +199,8 @@
       Send(others[pick], OwnersAsk{}, aNow);
     }
   }
-  m_scan_at = aNow + m_options.rules.scan_every +
-              m_gate.Jitter(m_options.rules.scan_every / 4);
+  m_scan_at = aNow + m_options.rules.scan_interval +
+              m_gate.Jitter(m_options.rules.scan_interval / 4);
   m_reading_all = true;
   m_actions.emplace_back(ReadRows{ m_gate.Begin(), true, {} });
 }
@@ -218,7 +221,7 @@
 Ownership::Impl::Write(WriteRows aWrite)
 {
   if (m_lease) {
-    const bool touched =
+    const bool changes_lease =
       std::any_of(aWrite.puts.begin(), aWrite.puts.end(), [](const RowPut& aP) {
         return std::holds_alternative<LeaseRow>(aP);
       });
@@ -226,7 +229,7 @@
       aWrite.deletes.begin(), aWrite.deletes.end(), [this](const auto& aRow) {
         return aRow.lease == m_lease->Row().lease;
       });
-    if (!touched && !closing) {
+    if (!changes_lease && !closing) {
       aWrite.checks.push_back(m_lease->Row());
     }
   }
@@ -236,24 +239,25 @@
 }
 
 bool
-Ownership::Impl::WritePaced(WriteRows aWrite,
-                            double aRowsPerSecond,
-                            Instant aNow)
+Ownership::Impl::WriteRateLimited(WriteRows aWrite,
+                                  double aRowsPerSecond,
+                                  Instant aNow)
 {
   const std::size_t rows = aWrite.puts.size() + aWrite.deletes.size();
-  if (!m_paced_until || rows > m_paced_rows) {
+  if (!m_rate_limited_until || rows > m_rate_limited_rows) {
     const double spread = 2.0 * static_cast<double>(rows) *
                           static_cast<double>(m_watch.Others().size() + 1) /
                           aRowsPerSecond;
-    m_paced_until = aNow + m_gate.Jitter(std::chrono::duration_cast<Duration>(
-                             std::chrono::duration<double>(spread)));
-    m_paced_rows = rows;
+    m_rate_limited_until =
+      aNow + m_gate.Jitter(std::chrono::duration_cast<Duration>(
+               std::chrono::duration<double>(spread)));
+    m_rate_limited_rows = rows;
   }
-  if (aNow < *m_paced_until) {
+  if (aNow < *m_rate_limited_until) {
     return true;
   }
-  m_paced_until.reset();
-  m_paced_rows = 0;
+  m_rate_limited_until.reset();
+  m_rate_limited_rows = 0;
   Write(std::move(aWrite));
   return true;
 }
@@ -261,9 +265,9 @@
 std::optional<Incarnation>
 Ownership::Impl::ProcessOf(const InstanceId& aInstance) const
 {
-  const auto said = m_processes.find(aInstance);
-  if (said != m_processes.end()) {
-    return said->second;
+  const auto reported = m_processes.find(aInstance);
+  if (reported != m_processes.end()) {
+    return reported->second;
   }
   const auto rows = m_map.LeasesOf(aInstance);
   if (rows.empty()) {
@@ -281,9 +285,9 @@
 {
   std::vector<Incarnation> picked = aKept;
   const auto order = m_watch.WitnessOrder([&](const InstanceId& aInstance) {
-    const auto avoided = m_avoid.find(aInstance);
-    const bool avoid = avoided != m_avoid.end() &&
-                       aNow < avoided->second + m_options.rules.gone_after;
+    const auto avoided = m_avoided_witnesses.find(aInstance);
+    const bool avoid = avoided != m_avoided_witnesses.end() &&
+                       aNow < avoided->second + m_options.rules.member_timeout;
     const bool kept = std::any_of(
       aKept.begin(), aKept.end(), [&aInstance](const Incarnation& aOne) {
         return aOne.instance == aInstance;
@@ -291,7 +295,7 @@
     return !avoid && !kept && ProcessOf(aInstance).has_value();
   });
   for (const InstanceId& instance : order) {
-    if (picked.size() >= kWitnesses) {
+    if (picked.size() >= kWitnessCount) {
       break;
     }
     picked.push_back(*ProcessOf(instance));
@@ -308,7 +312,7 @@
   LeaseRow row;
   row.lease = m_process;
   row.lease.number += ++m_leases_opened;
-  row.witnesses = PickWitnesses({}, m_read_asked_at);
+  row.witnesses = PickWitnesses({}, m_read_requested_at);
   m_opening = row;
   WriteRows write;
   write.puts.emplace_back(row);
@@ -317,7 +321,7 @@
 }
 
 bool
-Ownership::Impl::Record(Instant aNow)
+Ownership::Impl::RecordGroups(Instant aNow)
 {
   WriteRows write;
   std::size_t left = 0;
@@ -325,7 +329,7 @@
     if (holding.recorded && !holding.uncertain) {
       continue;
     }
-    if (write.puts.size() >= kGroupsAtOnce) {
+    if (write.puts.size() >= kMaxGroupsPerWrite) {
       ++left;
       continue;
     }
@@ -344,15 +348,15 @@
   if (write.puts.empty() && write.deletes.empty()) {
     return false;
   }
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
 bool
-Ownership::Impl::IsAllLostSafely(Instant aNow)
+Ownership::Impl::AreAllWitnessesReplaceable(Instant aNow)
 {
   const LeaseRow& row = m_lease->Row();
-  for (SendMessage& ask : m_reaper.Pursue(row, aNow)) {
+  for (SendMessage& ask : m_reaper.RequestVotes(row, aNow)) {
     Send(ask.to, std::move(ask.message), aNow);
   }
   std::vector<Incarnation> witnesses = row.witnesses;
@@ -361,9 +365,9 @@
     if (m_reaper.HasGranted(row.lease, witness)) {
       continue;
     }
-    const auto said = m_processes.find(witness.instance);
+    const auto reported = m_processes.find(witness.instance);
     const bool replaced =
-      said != m_processes.end() && !said->second.IsSameProcess(witness);
+      reported != m_processes.end() && !reported->second.IsSameProcess(witness);
     const bool gone = replaced || m_watch.IsGone(witness.instance, aNow);
     if (!gone && m_lease->IsAcking(witness, aNow)) {
       continue;
@@ -371,7 +375,7 @@
     if (!gone || m_lease->IsRefusedBy(witness)) {
       return false;
     }
-    // It may have taken over before it went.
+    // It may have taken over before it was gone.
     const auto rows = m_map.LeasesOf(witness.instance);
     const bool may_own =
       std::any_of(rows.begin(), rows.end(), [&](const LeaseRow& aRow) {
@@ -381,8 +385,8 @@
       return false;
     }
   }
-  constexpr Duration kFresh = std::chrono::seconds(2);
-  if (aNow > m_leases_known_at + kFresh) {
+  constexpr Duration kMaxLeaseReadAge = std::chrono::seconds(2);
+  if (aNow > m_leases_known_at + kMaxLeaseReadAge) {
     m_must_reread = true;
     return false;
   }
@@ -397,34 +401,35 @@
   std::vector<Incarnation> leaving;
   for (const Incarnation& witness : row.witnesses) {
     if (m_lease->IsLost(witness, aNow)) {
-      m_avoid[witness.instance] = aNow;
+      m_avoided_witnesses[witness.instance] = aNow;
     } else if (m_watch.IsLeaving(witness.instance)) {
       leaving.push_back(witness);
     } else {
       kept.push_back(witness);
     }
   }
-  // One at a time: the one that stays is in both rows.
+  // Replaces one witness at a time, so that one is in both rows.
   if (kept.empty() && !leaving.empty()) {
     kept.push_back(leaving.front());
   }
-  const bool has_survivor =
+  const bool has_current_witness =
     std::any_of(kept.begin(), kept.end(), [this](const Incarnation& aOne) {
       return m_lease->IsUpToDate(aOne);
     });
-  const bool is_free = row.witnesses.empty() || !m_lease_used;
-  if (!is_free && !has_survivor && !IsAllLostSafely(aNow)) {
+  const bool is_unconstrained = row.witnesses.empty() || !m_lease_used;
+  if (!is_unconstrained && !has_current_witness &&
+      !AreAllWitnessesReplaceable(aNow)) {
     return std::nullopt;
   }
   LeaseRow next = row;
   next.witnesses = PickWitnesses(kept, aNow);
   next.former.clear();
   const bool fewer = next.witnesses.size() < row.witnesses.size();
-  if (next.witnesses.empty() || (fewer && has_survivor)) {
+  if (next.witnesses.empty() || (fewer && has_current_witness)) {
     return std::nullopt;
   }
-  if (has_survivor || is_free) {
-    next.former = Dropped(row, next, m_lease->IsConfirmed());
+  if (has_current_witness || is_unconstrained) {
+    next.former = DroppedWitnesses(row, next, m_lease->IsConfirmed());
   } else {
     m_safe_change = next;
     ++m_safe_change->rev;
@@ -441,7 +446,7 @@
   }
   WriteRows write;
   write.puts.emplace_back(*next);
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
@@ -484,12 +489,12 @@
 Ownership::Impl::DelayFor(std::string_view aKey,
                           const std::vector<InstanceId>& aCandidates) const
 {
-  const auto homes = HomesOf(aKey, aCandidates, kCandidates);
+  const auto homes = HomesOf(aKey, aCandidates, kMaxCandidates);
   const auto self = std::find(homes.begin(), homes.end(), m_options.self);
   if (self == homes.end()) {
     return std::nullopt;
   }
-  return kNextCandidate * (self - homes.begin());
+  return kCandidateDelay * (self - homes.begin());
 }
 
 bool
@@ -502,15 +507,15 @@
   if (lease.instance == m_options.self) {
     return true;
   }
-  const auto said = m_processes.find(lease.instance);
+  const auto reported = m_processes.find(lease.instance);
   const bool replaced =
-    said != m_processes.end() && !said->second.IsSameProcess(lease);
+    reported != m_processes.end() && !reported->second.IsSameProcess(lease);
   const auto rows = m_map.LeasesOf(lease.instance);
-  const bool followed =
+  const bool superseded =
     std::any_of(rows.begin(), rows.end(), [&lease](const LeaseRow& aOther) {
       return aOther.lease.IsSameProcess(lease) && aOther.lease > lease;
     });
-  return replaced || followed || m_watch.IsGone(lease.instance, aNow);
+  return replaced || superseded || m_watch.IsGone(lease.instance, aNow);
 }
 
 std::set<Incarnation>
@@ -532,20 +537,21 @@
 }
 
 void
-Ownership::Impl::PursueWithWitnesses(const Incarnation& aLease,
-                                     const std::set<Incarnation>& aSuspects,
-                                     std::set<Incarnation>& aPursued,
-                                     Instant aNow)
+Ownership::Impl::RequestVotesRecursively(const Incarnation& aLease,
+                                         const std::set<Incarnation>& aSuspects,
+                                         std::set<Incarnation>& aRequested,
+                                         Instant aNow)
 {
   const LeaseRow* found = m_map.Lease(aLease);
-  if (found == nullptr || !aPursued.insert(aLease).second) {
+  if (found == nullptr || !aRequested.insert(aLease).second) {
     return;
   }
   const LeaseRow row = *found;
-  for (SendMessage& ask : m_reaper.Pursue(row, aNow)) {
+  for (SendMessage& ask : m_reaper.RequestVotes(row, aNow)) {
     Send(ask.to, std::move(ask.message), aNow);
   }
-  // A witness that went may have taken over: its leases end together.
+  // A witness that is gone may have taken over first, so its own leases have to
+  // be ended together with this one.
   std::vector<Incarnation> witnesses = row.witnesses;
   witnesses.insert(witnesses.end(), row.former.begin(), row.former.end());
   for (const Incarnation& suspect : aSuspects) {
@@ -554,13 +560,13 @@
         return aOne.IsSameProcess(suspect);
       });
     if (is_witness) {
-      PursueWithWitnesses(suspect, aSuspects, aPursued, aNow);
+      RequestVotesRecursively(suspect, aSuspects, aRequested, aNow);
     }
   }
 }
 
 bool
-Ownership::Impl::EndLeases(Instant aNow)
+Ownership::Impl::DeleteEndedLeases(Instant aNow)
 {
   std::set<Incarnation> suspects;
   for (const auto& [lease, row] : m_map.Leases()) {
@@ -571,61 +577,62 @@
     }
   }
   const std::set<Incarnation> due = DueSuspects(suspects, aNow);
-  std::set<Incarnation> pursued;
-  std::vector<LeaseRow> endable;
+  std::set<Incarnation> requested;
+  std::vector<LeaseRow> deletable;
   for (const Incarnation& lease : due) {
-    PursueWithWitnesses(lease, suspects, pursued, aNow);
+    RequestVotesRecursively(lease, suspects, requested, aNow);
   }
   for (const Incarnation& lease : due) {
-    if (endable.empty()) {
-      endable = m_reaper.Endable(lease, m_map, m_watch, aNow);
+    if (deletable.empty()) {
+      deletable = m_reaper.FindDeletable(lease, m_map, m_watch, aNow);
     }
   }
-  if (m_lapsed_since) {
+  if (m_expired_since) {
     suspects.insert(m_lease->Row().lease);
   }
   m_reaper.Retain(suspects);
-  if (endable.empty() || endable.size() > kGroupsAtOnce) {
+  if (deletable.empty() || deletable.size() > kMaxGroupsPerWrite) {
     return false;
   }
-  constexpr Duration kFresh = std::chrono::seconds(2);
-  if (aNow > m_leases_known_at + kFresh) {
+  constexpr Duration kMaxLeaseReadAge = std::chrono::seconds(2);
+  if (aNow > m_leases_known_at + kMaxLeaseReadAge) {
     m_must_reread = true;
     return false;
   }
   WriteRows write;
-  write.deletes = std::move(endable);
+  write.deletes = std::move(deletable);
   Write(std::move(write));
   return true;
 }
 
 bool
-Ownership::Impl::IsFree(const GroupRow* aRow) const
+Ownership::Impl::IsUnowned(const GroupRow* aRow) const
 {
   return aRow == nullptr || aRow->rev == 0 ||
          m_map.Lease(aRow->owner) == nullptr;
 }
 
 bool
-Ownership::Impl::Claim(Instant aNow)
+Ownership::Impl::ClaimGroups(Instant aNow)
 {
   if (aNow < m_claim_at || !HasValidLease(aNow) || m_leaving_since) {
     return false;
   }
-  m_claim_at = aNow + kLookEvery;
+  m_claim_at = aNow + kClaimInterval;
   const auto candidates = Candidates(aNow);
   WriteRows write;
   std::set<Incarnation> ended;
   for (const GroupId& group : m_groups) {
     const GroupRow* known = m_map.Group(group);
     const std::string key = "group " + group.Text();
-    if (!IsFree(known) || m_held.contains(group)) {
+    if (!IsUnowned(known) || m_held.contains(group)) {
       m_due_since.erase(key);
       continue;
     }
     const Instant due = m_due_since.try_emplace(key, aNow).first->second;
     const auto delay = DelayFor(group.View(), candidates);
-    if (!delay || aNow < due + *delay || write.puts.size() >= kGroupsAtOnce) {
+    if (!delay || aNow < due + *delay ||
+        write.puts.size() >= kMaxGroupsPerWrite) {
       continue;
     }
     GroupRow row = known == nullptr ? GroupRow{ group, {}, 0, 0 } : *known;
@@ -633,7 +640,7 @@
       ended.insert(row.owner);
     }
     row.owner = m_lease->Row().lease;
-    row.epoch = NextClaim(row.epoch);
+    row.epoch = NextClaimEpoch(row.epoch);
     write.puts.emplace_back(row);
   }
   if (write.puts.empty()) {
@@ -642,20 +649,21 @@
   for (const Incarnation& lease : ended) {
     write.checks.push_back({ lease, {}, {}, 0 });
   }
-  return WritePaced(std::move(write), m_options.rules.claims_per_second, aNow);
+  return WriteRateLimited(
+    std::move(write), m_options.rules.claims_per_second, aNow);
 }
 
 void
-Ownership::Impl::PickMoves(Instant aNow)
+Ownership::Impl::SelectMoves(Instant aNow)
 {
   const bool leaving = m_leaving_since.has_value();
   const bool settled =
-    aNow >= m_watch.ChangedAt() + m_options.rules.settle || leaving;
+    aNow >= m_watch.ChangedAt() + m_options.rules.settle_time || leaving;
   if (!settled || !m_gate.IsHealthy() || !HasValidLease(aNow)) {
     return;
   }
-  const std::size_t most =
-    leaving ? kGroupsAtOnce : m_options.rules.moves_at_once;
+  const std::size_t max_moves =
+    leaving ? kMaxGroupsPerWrite : m_options.rules.max_concurrent_moves;
   auto moving = static_cast<std::size_t>(
     std::count_if(m_held.begin(), m_held.end(), [](const auto& aEntry) {
       return aEntry.second.moving;
@@ -667,7 +675,7 @@
   for (auto& [group, holding] : m_held) {
     const auto home = HomesOf(group.View(), candidates, 1);
     const bool stays = home.empty() || home.front() == m_options.self;
-    if (stays || !holding.recorded || moving >= most) {
+    if (stays || !holding.recorded || moving >= max_moves) {
       continue;
     }
     holding.moving = true;
@@ -683,7 +691,7 @@
 }
 
 bool
-Ownership::Impl::Move(Instant aNow)
+Ownership::Impl::MoveGroups(Instant aNow)
 {
   const auto candidates = Candidates(aNow);
   WriteRows write;
@@ -701,7 +709,7 @@
     const LeaseRow lease = *LeaseOf(home.front());
     GroupRow row = holding.row;
     row.owner = lease.lease;
-    row.epoch = NextClaim(holding.epoch);
+    row.epoch = NextClaimEpoch(holding.epoch);
     write.puts.emplace_back(row);
     to.emplace(lease.lease, lease);
   }
@@ -712,12 +720,12 @@
   for (const auto& [lease, row] : to) {
     write.checks.push_back(row);
   }
-  return WritePaced(
+  return WriteRateLimited(
     std::move(write), m_options.rules.other_rows_per_second, aNow);
 }
 
 bool
-Ownership::Impl::Close()
+Ownership::Impl::CloseLease()
 {
   if (!m_leaving_since || !m_held.empty() || !m_inherited.empty()) {
     return false;
@@ -742,8 +750,9 @@
   if (!m_leaving_since) {
     return;
   }
-  const bool late = aNow >= *m_leaving_since + m_options.rules.resign_after;
-  if (m_lease && !(late && !m_gate.IsHealthy())) {
+  const bool timed_out =
+    aNow >= *m_leaving_since + m_options.rules.resign_timeout;
+  if (m_lease && !(timed_out && !m_gate.IsHealthy())) {
     return;
   }
   if (m_lease) {
@@ -756,24 +765,24 @@
 }
 
 void
-Ownership::Impl::AnnounceAgain(Instant aNow)
+Ownership::Impl::RepeatAnnouncements(Instant aNow)
 {
   if (aNow < m_announce_at) {
     return;
   }
-  m_announce_at = aNow + kAnnounceEvery;
+  m_announce_at = aNow + kAnnounceInterval;
   for (const auto& [group, holding] : m_held) {
     if (!holding.recorded) {
-      m_news.groups.push_back(holding.row);
-      m_news.groups.back().epoch = holding.epoch;
+      m_unannounced.groups.push_back(holding.row);
+      m_unannounced.groups.back().epoch = holding.epoch;
     }
   }
-  std::erase_if(m_handed, [aNow](const auto& aEntry) {
-    return aNow >= aEntry.second.at + kAnnounceHanded;
+  std::erase_if(m_pending_handovers, [aNow](const auto& aEntry) {
+    return aNow >= aEntry.second.at + kHandoverAnnouncePeriod;
   });
-  for (const auto& [group, handed] : m_handed) {
-    Send(handed.row.owner.instance,
-         OwnersAnnounce{ { handed.row }, {}, {} },
+  for (const auto& [group, handover] : m_pending_handovers) {
+    Send(handover.row.owner.instance,
+         OwnersAnnounce{ { handover.row }, {}, {} },
          aNow);
   }
 }
