--- a/include/jujubehead/core/claims.hpp
+++ b/include/jujubehead/core/claims.hpp
@@ -15,7 +15,7 @@
 
 namespace jujubehead::core {
 
-/// @brief What a non-idempotent request is known by.
+/// @brief Identifies a non-idempotent request.
 struct ClaimKey
 {
   AccountId account;
@@ -25,8 +25,8 @@
   friend auto operator<=>(const ClaimKey&, const ClaimKey&) = default;
 };
 
-/// @brief A row that says that somebody runs, or ran, the request. It is
-/// written before anything is dispatched, and never changed.
+/// @brief A stored row: some instance runs, or ran, the request. It is written
+/// before the request is dispatched, and never changed.
 struct ClaimRow
 {
   ClaimKey key;
@@ -34,29 +34,29 @@
   std::int64_t day = 0; ///< Days since the epoch; rows are deleted by it.
 };
 
-/// @brief Times and sizes of claiming.
+/// @brief Time limits and sizes for claims.
 struct ClaimRules
 {
-  /// Claims wait so long for others to share their transaction.
-  Duration gather = std::chrono::milliseconds(5);
-  std::size_t most_in_one = 50;
-  std::size_t transactions_at_once = 4;
-  /// A request is refused when its claim is not settled by then.
+  /// How long a claim waits for others to share its transaction.
+  Duration batch_delay = std::chrono::milliseconds(5);
+  std::size_t max_batch_rows = 50;
+  std::size_t max_transactions = 4;
+  /// A request is refused when its claim is not settled within this time.
   Duration patience = std::chrono::seconds(5);
-  Duration retry_after_failure = std::chrono::milliseconds(100);
-  /// More waiting claims are refused at once.
-  std::size_t most_waiting = 2000;
+  Duration retry_delay = std::chrono::milliseconds(100);
+  /// Further claims are refused immediately.
+  std::size_t max_waiting = 2000;
 };
 
-/// @brief Days for which a claim is kept. A caller that repeats a request
-/// later may have it run again.
+/// @brief Retention of a claim in days. A request repeated later may run
+/// again.
 inline constexpr std::int64_t kClaimDays = 7;
 
 /// @return whether the row is so old that it may be deleted.
 [[nodiscard]] bool
 IsClaimExpired(const ClaimRow& aRow, std::int64_t aToday);
 
-/// @brief Put these rows, each on condition that there is none: all or none.
+/// @brief Insert these rows if none of the keys exists: all or none.
 struct WriteClaims
 {
   std::uint64_t transaction = 0;
@@ -76,19 +76,18 @@
   std::string token;
 };
 
-/// @brief Another attempt has the claim: this one must not run.
+/// @brief Another attempt holds the claim: this one must not run.
 struct ClaimTaken
 {
   std::string token;
 };
 
-/// @brief It is not known to be claimed: not run. The attempt's own row may
-/// still appear, which then blocks the key until it expires.
+/// @brief The claim was not confirmed: the request is not run. The attempt's
+/// row may still appear, and then blocks the key until it expires.
 struct ClaimFailed
 {
   std::string token;
-  bool may_be_claimed =
-    false; ///< Tell the caller that a repeat may be refused.
+  bool may_be_claimed = false; ///< Tell the caller that a retry may be refused.
 };
 
 using ClaimAction =
@@ -97,7 +96,7 @@
 /// @brief All rows were written.
 struct ClaimsCommitted
 {};
-/// @brief None was written: there are rows already at these places.
+/// @brief None was written: the keys at these indices exist already.
 struct ClaimsConflict
 {
   std::vector<std::size_t> indices;
@@ -105,13 +104,13 @@
 /// @brief None was written.
 struct ClaimsNotWritten
 {};
-/// @brief Written or not.
+/// @brief All or none were written; which is not known.
 struct ClaimsUnknown
 {};
 using ClaimsOutcome = std::
   variant<ClaimsCommitted, ClaimsConflict, ClaimsNotWritten, ClaimsUnknown>;
 
-/// @brief What ReadClaim found.
+/// @brief The result of ReadClaim.
 struct ClaimRead
 {
   bool failed = false;
@@ -119,18 +118,18 @@
   std::string token; ///< Of the row.
 };
 
-/// @brief Claims of one instance: gathers several into one transaction, takes
-/// a conflicting one out and writes the rest again, and settles a lost answer
-/// by reading its own token back.
+/// @brief Claims of one instance: batches several into one transaction, removes
+/// conflicting ones and writes the rest again, and resolves a lost response by
+/// reading the row and comparing its token.
 ///
-/// A claim is won only when its own row is known to be there; nothing is ever
-/// dispatched on less, so a request runs at most once.
+/// A claim is won only when its own row is confirmed as stored; no request is
+/// dispatched before that, so a request runs at most once.
 class Claims
 {
 public:
   static Claims Create(ClaimRules aRules = {});
 
-  /// @param aRow its token must be unique over the whole system.
+  /// @param aRow its token must be unique in the whole system.
   void Claim(ClaimRow aRow, Instant aNow);
   void OnWritten(std::uint64_t aTransaction,
                  const ClaimsOutcome& aOutcome,
@@ -147,7 +146,7 @@
   {
     ClaimRow row;
     Instant since;
-    bool uncertain = false; ///< Its row may be there.
+    bool uncertain = false; ///< Its row may have been written.
   };
 
   explicit Claims(ClaimRules aRules)
@@ -167,9 +166,9 @@
   std::map<std::uint64_t, std::vector<Attempt>> m_writing;
   std::map<std::uint64_t, Attempt> m_reading;
   std::vector<ClaimAction> m_actions;
-  std::uint64_t m_last = 0;
-  Instant m_write_at;
-  bool m_gathering = false;
+  std::uint64_t m_last_transaction = 0;
+  Instant m_next_write_at;
+  bool m_batch_open = false;
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/permit.hpp
+++ b/include/jujubehead/core/permit.hpp
@@ -15,11 +15,11 @@
 
 namespace jujubehead::core {
 
-/// @brief Names one permission to run one request on one target, once.
-/// Ordered: the owner of a later epoch gives greater ones.
+/// @brief Identifies a permit to run one request on one target, once.
+/// Ordered: an owner of a later epoch issues greater ids.
 struct PermitId
 {
-  std::uint64_t epoch = 0; ///< Of the ownership; the fencing number.
+  std::uint64_t epoch = 0; ///< Of the ownership; the fencing token.
   std::uint64_t number = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr)
@@ -32,31 +32,31 @@
   }
 };
 
-/// @brief How much of one target an account may take.
+/// @brief How much of one target an account may use.
 struct AccountShare
 {
   AccountId account;
   std::uint32_t weight = 1;
-  std::uint32_t max_running = 0; ///< Never lent beyond this.
+  std::uint32_t max_running = 0; ///< Also while other shares are idle.
   std::uint32_t max_waiting = 0;
 
   friend bool operator==(const AccountShare&, const AccountShare&) = default;
 };
 
-/// @brief Asks for one permit. Repeated while it waits (see PermitRules).
+/// @brief Requests one permit. Resent while it waits (see PermitRules).
 struct PermitRequest
 {
-  /// Unique for this attempt: a resumed or repeated run asks under another.
+  /// Unique for this attempt: a resumed or retried run uses another id.
   RequestId request;
   InstanceId holder; ///< The instance that will run it.
   AccountId account;
   std::int32_t priority = 0;     ///< Lower goes first within the account.
   Instant deadline;              ///< Latest useful start, by the owner's clock.
   std::uint32_t cost_tokens = 1; ///< Expected work, for the service time.
-  /// Opaque to the owner, which echoes the latest: the holder finds by it when
-  /// it sent that message, and starts only within the start window after it.
+  /// Opaque to the owner, which echoes the latest. The holder derives from it
+  /// when it sent that message; it starts only within the start window after.
   std::uint64_t mark = 0;
-  std::uint64_t process = 0; ///< Of the holder: drawn when it starts.
+  std::uint64_t process = 0; ///< Of the holder: random, drawn at process start.
 };
 
 /// @brief Why a request was not run.
@@ -65,8 +65,8 @@
   kDeadline,     ///< It could not start by its deadline.
   kQueueFull,    ///< The account has max_waiting requests here already.
   kNoShare,      ///< The account has no share of this target.
-  kStopping,     ///< The target or its owner stops.
-  kHolderSilent, ///< The holder stopped repeating it.
+  kStopping,     ///< The target or its owner is shutting down.
+  kHolderSilent, ///< The holder stopped resending it.
 };
 
 /// @brief The request may start now.
@@ -75,7 +75,7 @@
   RequestId request;
   InstanceId holder;
   PermitId permit;
-  Instant start_by;       ///< By the owner's clock; void afterwards.
+  Instant start_by;       ///< By the owner's clock; invalid afterwards.
   std::uint64_t mark = 0; ///< Of the latest PermitRequest.
 };
 
@@ -94,13 +94,13 @@
 /// @brief How busy a target is, for choosing among targets.
 struct PermitQuote
 {
-  std::uint32_t running = 0; ///< Permits out, and those that may be out.
+  std::uint32_t running = 0; ///< Outstanding permits, and reserved slots.
   std::uint32_t waiting = 0;
   std::uint32_t limit = 0;
-  Duration expected_wait{}; ///< For a request of the asked account.
+  Duration expected_wait{}; ///< For a request of the given account.
 };
 
-/// @brief A permit that a holder has, as owners and holders tell each other.
+/// @brief A permit that a holder has, as exchanged by owners and holders.
 struct HeldPermit
 {
   PermitId permit;
@@ -119,16 +119,16 @@
   }
 };
 
-/// @brief Owner to holder: which permits up to this one do you hold?
+/// @brief Owner to holder: requests the held permits up to this one.
 struct HoldingsQuery
 {
   PermitId up_to;
 };
 
-/// @brief Holder to owner: these and no others. From now on the holder starts
-/// nothing under a permit up to `up_to` that is not listed. It speaks for its
-/// own process only: runs that an earlier process of the instance began may
-/// still go on.
+/// @brief Holder to owner: the complete list. From now on the holder starts
+/// nothing under a permit up to `up_to` that is not listed. It covers the
+/// sending process only: runs started by an earlier process of the instance may
+/// still be in progress.
 struct HoldingsAnswer
 {
   InstanceId holder;
@@ -137,17 +137,17 @@
   std::uint64_t process = 0;
 };
 
-/// @brief What a target itself says it runs.
+/// @brief The requests that a target reports as running.
 struct TargetReport
 {
-  /// By the owner's clock: the report shows the target at this time or later
-  /// (the time of sending an order that the report has seen; never a clock of
-  /// the target).
+  /// By the owner's clock: the report shows the target at this time or later.
+  /// It is the time of sending an order that the report acknowledges, never a
+  /// time of the target's clock.
   Instant as_of;
   std::vector<RequestId> running;
 };
 
-/// @brief The times that owners and holders of permits agree on.
+/// @brief Time limits shared by owners and holders of permits.
 struct PermitRules
 {
   /// A holder starts a run within this of sending the message that the grant
@@ -156,16 +156,16 @@
   /// Covers drift between two clocks over a start window, and the time that a
   /// dispatched request takes to arrive at the target.
   Duration margin = std::chrono::seconds(1);
-  /// A waiting request is passed over when its last message is older; holders
-  /// repeat at half of this.
+  /// A waiting request is skipped when its last message is older; holders
+  /// resend at half of this interval.
   Duration repeat_within = std::chrono::seconds(1);
   /// A waiting request is dropped when its last message is older.
-  Duration drop_after = std::chrono::seconds(5);
-  /// A holder is asked what it holds when it last told longer ago.
+  Duration request_timeout = std::chrono::seconds(5);
+  /// A holder is queried when its permits were last confirmed longer ago.
   Duration ask_after = std::chrono::seconds(5);
-  /// A holder that did not speak for so long is taken for gone: the target's
-  /// own report then decides over its permits.
-  Duration silent_after = std::chrono::seconds(10);
+  /// A holder that sent nothing for this long counts as failed: the target's
+  /// report then decides over its permits.
+  Duration holder_timeout = std::chrono::seconds(10);
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/permit_book.hpp
+++ b/include/jujubehead/core/permit_book.hpp
@@ -10,14 +10,15 @@
 
 namespace jujubehead::core {
 
-/// @brief The admission of one target, kept by its owner for one epoch.
+/// @brief Issues the permits of one target; run by its owner for one epoch.
 ///
-/// Free places go to accounts by start-time fair queueing over the time that
-/// their runs occupy places, weighted; within an account to the lower priority
-/// number, then the earlier deadline. Every place is accounted for: by a permit
-/// of this epoch, by a permit of an earlier epoch that its holder told of, or
-/// by a reservation for what nobody told of yet. A place comes back only on the
-/// word of the holder, or, if the holder is silent, of the target.
+/// Free slots go to accounts by weighted start-time fair queueing over the time
+/// that their runs occupy slots; within an account to the lower priority
+/// number, then the earlier deadline. Every used slot is accounted for: by a
+/// permit of this epoch, by a permit of an earlier epoch that its holder
+/// reported, or by a reservation for permits not reported yet. A slot becomes
+/// free only by a message of the holder or, after the holder has timed out, by
+/// a report of the target.
 ///
 /// @code
 /// auto book = PermitBook::ForEpoch(7, 8);
@@ -28,7 +29,7 @@
 class PermitBook
 {
 public:
-  /// @param aEpoch of the ownership that admits.
+  /// @param aEpoch of the ownership.
   /// @param aLimit the most that the target may run at once.
   static PermitBook ForEpoch(std::uint64_t aEpoch,
                              std::uint32_t aLimit,
@@ -48,46 +49,46 @@
   /// @return whether the account has a share here.
   [[nodiscard]] bool HasShare(const AccountId& aAccount) const;
 
-  /// @brief Takes a request, or a repeat of one. The next Decide() answers a
-  /// repeat of a granted one with the same permit.
+  /// @brief Enqueues a request, or refreshes a resent one. The next Decide()
+  /// answers a resent one that was granted with the same permit.
   void Request(const PermitRequest& aRequest, Instant aNow);
-  /// @brief The holder no longer wants it and will not start it.
+  /// @brief The holder cancelled the request and will not start it.
   void Withdraw(const RequestId& aRequest, Instant aNow);
-  /// @brief The run began. Only for figures: a start that was not told of
-  /// counts as well.
+  /// @brief The run began. Used for estimates only: a run whose start was not
+  /// reported occupies its slot as well.
   void Started(const PermitId& aPermit, Instant aNow);
   /// @brief The run is over, or will never begin. Also of earlier epochs.
   void Release(const PermitId& aPermit, Instant aNow);
-  /// @return what is decided since the last call, in order.
+  /// @return the decisions since the last call, in order.
   [[nodiscard]] std::vector<PermitDecision> Decide(Instant aNow);
   [[nodiscard]] PermitQuote Quote(Instant aNow,
                                   const AccountId& aAccount) const;
 
-  /// @brief After a takeover: earlier owners may have given up to this many
-  /// permits, the last of which starts no later than `aStartsEnd`.
-  void ReserveUnknown(std::uint32_t aCount, Instant aStartsEnd);
-  /// @brief At a hand-over: the previous owner's complete list.
+  /// @brief After a takeover: earlier owners may have issued up to this many
+  /// permits, the last of which starts no later than `aLastStart`.
+  void ReserveUnknown(std::uint32_t aCount, Instant aLastStart);
+  /// @brief At a handover: adds the previous owner's complete list.
   void Adopt(std::span<const HeldPermit> aPermits, Instant aNow);
-  /// @return what to ask holders.
+  /// @return the query to send to holders.
   [[nodiscard]] HoldingsQuery Query() const;
-  /// @return the holders that should be asked again.
+  /// @return the holders that should be queried again.
   [[nodiscard]] std::vector<InstanceId> HoldersToAsk(Instant aNow) const;
   void AcceptHolding(const HoldingsAnswer& aAnswer, Instant aNow);
   void ObserveTargetReport(const TargetReport& aReport);
-  /// @return whether a report as of some later time would set places free.
+  /// @return whether a later target report could free slots.
   [[nodiscard]] bool NeedsTargetReport(Instant aNow) const;
 
-  /// @brief Planned stop: grants nothing more and refuses what waits.
+  /// @brief Planned stop: grants nothing more and refuses waiting requests.
   void StopAdmitting();
-  /// @brief The planned stop was taken back.
+  /// @brief Cancels a planned stop.
   void ResumeAdmitting();
   [[nodiscard]] bool Admits() const;
 
   [[nodiscard]] std::uint64_t Epoch() const;
   [[nodiscard]] std::uint32_t Limit() const;
-  /// @return every permit that is out, for a hand-over or a status page.
+  /// @return all outstanding permits, for a handover or a status page.
   [[nodiscard]] std::vector<HeldPermit> Held() const;
-  /// @return places reserved for what nobody told of yet.
+  /// @return slots reserved for permits and runs not attributed to a holder.
   [[nodiscard]] std::uint32_t Reserved() const;
   [[nodiscard]] std::uint32_t Waiting() const;
 
--- a/include/jujubehead/core/permit_holder.hpp
+++ b/include/jujubehead/core/permit_holder.hpp
@@ -10,27 +10,27 @@
 
 namespace jujubehead::core {
 
-/// @brief Dispatch now, without another wait in between.
+/// @brief Dispatch immediately, without waiting for anything else.
 struct StartRun
 {
   PermitId permit;
 };
 
-/// @brief Too late, or no longer wanted: release the permit. A request that
-/// still waits is asked for again.
+/// @brief Too late, or the request was cancelled: release the permit. A request
+/// that still waits is sent again.
 struct GiveBackPermit
 {
   PermitId permit;
 };
 
-/// @brief Nothing to do: a repeat, or a permit that the owner has back already.
+/// @brief Nothing to do: a duplicate, or a permit already returned.
 struct IgnoreGrant
 {};
 
 using GrantOutcome = std::variant<StartRun, GiveBackPermit, IgnoreGrant>;
 
 /// @brief The holder's side of one target's permits: decides whether a grant
-/// may still be used, and tells owners what is held.
+/// may still be used, and reports held permits to owners.
 class PermitHolder
 {
 public:
@@ -39,9 +39,9 @@
                           PermitRules aRules = {},
                           std::uint64_t aProcess = 0);
 
-  /// @brief A request is about to be sent to the owner, or sent again.
+  /// @brief Call before a request is sent or resent to the owner.
   void Asked(const RequestId& aRequest, const AccountId& aAccount);
-  /// @brief The request was refused or its caller went away.
+  /// @brief The request was refused or its caller disconnected.
   /// @return whether it was waiting for a permit.
   bool Forget(const RequestId& aRequest);
   /// @param aSentAt when the message was sent that this grant answers.
@@ -50,9 +50,10 @@
                          Instant aNow);
   /// @brief The run under this permit is over.
   void Ended(const PermitId& aPermit);
-  /// @brief Answers an owner, and is bound by the answer.
+  /// @brief Answers an owner's query. Grants up to `up_to` that the answer does
+  /// not list are ignored from then on.
   [[nodiscard]] HoldingsAnswer Answer(const HoldingsQuery& aQuery);
-  /// @return the permits under which runs go on.
+  /// @return the permits of the active runs.
   [[nodiscard]] std::vector<HeldPermit> Held() const;
 
 private:
@@ -61,7 +62,7 @@
   struct Waiting
   {
     AccountId account;
-    PermitId given_back; ///< Repeats of grants up to this one are void.
+    PermitId last_returned; ///< Grants up to this one are invalid.
   };
 
   InstanceId m_self;
@@ -69,7 +70,7 @@
   std::uint64_t m_process;
   std::map<RequestId, Waiting> m_waiting;
   std::map<PermitId, HeldPermit> m_held;
-  PermitId m_answered; ///< Grants up to this one are void unless held.
+  PermitId m_answered; ///< Grants up to this one are invalid unless held.
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/claims.cpp
+++ b/src/jujubehead/core/claims.cpp
@@ -32,13 +32,13 @@
 Claims::Claim(ClaimRow aRow, Instant aNow)
 {
   Attempt attempt{ std::move(aRow), aNow };
-  if (m_waiting.size() >= m_rules.most_waiting) {
+  if (m_waiting.size() >= m_rules.max_waiting) {
     Fail(attempt);
     return;
   }
-  if (!m_gathering) {
-    m_gathering = true;
-    m_write_at = std::max(m_write_at, aNow + m_rules.gather);
+  if (!m_batch_open) {
+    m_batch_open = true;
+    m_next_write_at = std::max(m_next_write_at, aNow + m_rules.batch_delay);
   }
   m_waiting.push_back(std::move(attempt));
 }
@@ -52,51 +52,51 @@
 std::vector<Claims::Attempt>
 Claims::NextBatch()
 {
-  // One key once: a transaction cannot put the same row twice.
+  // Each key once: a transaction cannot insert the same row twice.
   std::set<ClaimKey> keys;
   std::vector<Attempt> batch;
-  std::deque<Attempt> left;
+  std::deque<Attempt> remaining;
   while (!m_waiting.empty()) {
     Attempt attempt = std::move(m_waiting.front());
     m_waiting.pop_front();
-    const bool fits =
-      batch.size() < m_rules.most_in_one && keys.insert(attempt.row.key).second;
+    const bool fits = batch.size() < m_rules.max_batch_rows &&
+                      keys.insert(attempt.row.key).second;
     if (fits) {
       batch.push_back(std::move(attempt));
     } else {
-      left.push_back(std::move(attempt));
+      remaining.push_back(std::move(attempt));
     }
   }
-  m_waiting = std::move(left);
+  m_waiting = std::move(remaining);
   return batch;
 }
 
 void
 Claims::StartWrites(Instant aNow)
 {
-  while (!m_waiting.empty() && aNow >= m_write_at &&
-         m_writing.size() < m_rules.transactions_at_once) {
+  while (!m_waiting.empty() && aNow >= m_next_write_at &&
+         m_writing.size() < m_rules.max_transactions) {
     std::vector<Attempt> batch = NextBatch();
-    WriteClaims write{ ++m_last, {} };
+    WriteClaims write{ ++m_last_transaction, {} };
     for (const Attempt& attempt : batch) {
       write.rows.push_back(attempt.row);
     }
     m_writing.emplace(write.transaction, std::move(batch));
     m_actions.emplace_back(std::move(write));
   }
-  m_gathering = !m_waiting.empty();
+  m_batch_open = !m_waiting.empty();
 }
 
 void
 Claims::Expire(Instant aNow)
 {
-  // In order of arrival, but for those that wait again.
+  // Scans all: claims that were queued again break the order of arrival.
   std::erase_if(m_waiting, [&](const Attempt& aAttempt) {
-    const bool late = aNow >= aAttempt.since + m_rules.patience;
-    if (late) {
+    const bool expired = aNow >= aAttempt.since + m_rules.patience;
+    if (expired) {
       Fail(aAttempt);
     }
-    return late;
+    return expired;
   });
 }
 
@@ -116,7 +116,7 @@
 void
 Claims::ReadOne(Attempt aAttempt)
 {
-  ReadClaim read{ ++m_last, aAttempt.row.key };
+  ReadClaim read{ ++m_last_transaction, aAttempt.row.key };
   m_reading.emplace(read.transaction, std::move(aAttempt));
   m_actions.emplace_back(std::move(read));
 }
@@ -151,7 +151,7 @@
       ReadOne(std::move(attempt));
     }
   } else {
-    m_write_at = aNow + m_rules.retry_after_failure;
+    m_next_write_at = aNow + m_rules.retry_delay;
     for (Attempt& attempt : attempts) {
       m_waiting.push_back(std::move(attempt));
     }
@@ -174,11 +174,11 @@
     Fail(aAttempt);
     return;
   }
-  // Not there, or not yet: the same row again, so that a late write of the
-  // first meets its own token.
+  // The row is missing or still in flight. Writing the same row again is safe:
+  // if the first write lands late, the token found is the attempt's own.
   m_waiting.push_back(aAttempt);
   if (aRead.failed) {
-    m_write_at = aNow + m_rules.retry_after_failure;
+    m_next_write_at = aNow + m_rules.retry_delay;
   }
 }
 
--- a/src/jujubehead/core/claims_test.cpp
+++ b/src/jujubehead/core/claims_test.cpp
@@ -13,31 +13,32 @@
 
 namespace {
 
-/// Rows, and writes that may be lost, late or unanswered.
-class Service
+/// A row store whose writes may be lost, late or unanswered.
+class FaultyStore
 {
 public:
-  explicit Service(std::uint64_t aSeed)
+  explicit FaultyStore(std::uint64_t aSeed)
     : m_random(aSeed)
   {
   }
 
-  /// @param aTrusting the broken variant: takes an unknown outcome for good.
-  ClaimsOutcome Write(const WriteClaims& aWrite, bool aTrusting)
+  /// @param aAssumeCommitted the faulty variant: reports an unknown outcome as
+  /// committed.
+  ClaimsOutcome Write(const WriteClaims& aWrite, bool aAssumeCommitted)
   {
     switch (m_random() % 5) {
       case 0:
         return ClaimsNotWritten{};
       case 1:
-        Land(aWrite);
+        Apply(aWrite);
         break;
       case 2:
-        m_late.push_back(aWrite);
+        m_delayed.push_back(aWrite);
         break;
       default:
-        return Land(aWrite);
+        return Apply(aWrite);
     }
-    if (aTrusting) {
+    if (aAssumeCommitted) {
       return ClaimsCommitted{};
     }
     return ClaimsUnknown{};
@@ -45,7 +46,7 @@
 
   ClaimRead Read(const ClaimKey& aKey)
   {
-    LandSomeLate();
+    ApplySomeDelayed();
     if (m_random() % 4 == 0) {
       return { true, false, "" };
     }
@@ -55,15 +56,15 @@
   }
 
 private:
-  void LandSomeLate()
+  void ApplySomeDelayed()
   {
-    if (!m_late.empty() && m_random() % 2 == 0) {
-      Land(m_late.front());
-      m_late.erase(m_late.begin());
+    if (!m_delayed.empty() && m_random() % 2 == 0) {
+      Apply(m_delayed.front());
+      m_delayed.erase(m_delayed.begin());
     }
   }
 
-  ClaimsOutcome Land(const WriteClaims& aWrite)
+  ClaimsOutcome Apply(const WriteClaims& aWrite)
   {
     ClaimsConflict conflict;
     for (std::size_t i = 0; i < aWrite.rows.size(); ++i) {
@@ -82,10 +83,10 @@
 
   std::mt19937_64 m_random;
   std::map<ClaimKey, std::string> m_rows;
-  std::vector<WriteClaims> m_late;
+  std::vector<WriteClaims> m_delayed;
 };
 
-struct Tally
+struct RunCounts
 {
   std::map<std::string, int> runs; ///< By idempotency key.
   int settled = 0;
@@ -93,32 +94,33 @@
 
 void
 Answer(Claims& aClaims,
-       Service& aService,
+       FaultyStore& aStore,
        const ClaimAction& aAction,
-       bool aTrusting,
+       bool aAssumeCommitted,
        Instant aNow,
-       Tally& aTally)
+       RunCounts& aCounts)
 {
   if (const auto* write = std::get_if<WriteClaims>(&aAction)) {
     aClaims.OnWritten(
-      write->transaction, aService.Write(*write, aTrusting), aNow);
+      write->transaction, aStore.Write(*write, aAssumeCommitted), aNow);
   } else if (const auto* read = std::get_if<ReadClaim>(&aAction)) {
-    aClaims.OnRead(read->transaction, aService.Read(read->key), aNow);
+    aClaims.OnRead(read->transaction, aStore.Read(read->key), aNow);
   } else {
-    ++aTally.settled;
+    ++aCounts.settled;
     if (const auto* won = std::get_if<ClaimWon>(&aAction)) {
-      ++aTally.runs[won->token.substr(0, won->token.find('/'))];
+      ++aCounts.runs[won->token.substr(0, won->token.find('/'))];
     }
   }
 }
 
-/// Three instances get the same requests; @return what ran.
-Tally
-RunDuplicates(std::uint64_t aSeed, int aKeys, bool aTrusting)
+/// Sends the same requests to three instances.
+/// @return which requests ran.
+RunCounts
+RunDuplicates(std::uint64_t aSeed, int aKeys, bool aAssumeCommitted)
 {
-  Service service(aSeed);
+  FaultyStore store(aSeed);
   std::vector<Claims> instances;
-  Tally tally;
+  RunCounts counts;
   Instant now{ 1h };
   for (int i = 0; i < 3; ++i) {
     instances.push_back(Claims::Create());
@@ -133,17 +135,18 @@
     Claims& claims = instances[static_cast<std::size_t>(step) % 3];
     claims.Tick(now);
     for (const ClaimAction& action : claims.TakeActions()) {
-      Answer(claims, service, action, aTrusting, now, tally);
+      Answer(claims, store, action, aAssumeCommitted, now, counts);
     }
   }
-  return tally;
+  return counts;
 }
 
 bool
-RunsAtMostOnce(bool aTrusting)
+RunsAtMostOnce(bool aAssumeCommitted)
 {
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
-    for (const auto& [key, runs] : RunDuplicates(seed, 7, aTrusting).runs) {
+    for (const auto& [key, runs] :
+         RunDuplicates(seed, 7, aAssumeCommitted).runs) {
       if (runs > 1) {
         return false;
       }
@@ -160,22 +163,22 @@
 {
   const bool ok = rc::check("at most once", [](std::uint64_t aSeed) {
     const int keys = *rc::gen::inRange(1, 12);
-    const Tally tally = RunDuplicates(aSeed, keys, false);
-    for (const auto& [key, runs] : tally.runs) {
+    const RunCounts counts = RunDuplicates(aSeed, keys, false);
+    for (const auto& [key, runs] : counts.runs) {
       RC_ASSERT(runs <= 1);
     }
-    RC_ASSERT(tally.settled == 3 * keys);
+    RC_ASSERT(counts.settled == 3 * keys);
   });
   CHECK(ok);
 }
 
-TEST(Claims, TakingALostAnswerForACommitIsCaught)
+TEST(Claims, TreatingALostResponseAsACommitIsDetected)
 {
   CHECK(RunsAtMostOnce(false));
   CHECK_FALSE(RunsAtMostOnce(true));
 }
 
-TEST(Claims, ManyClaimsShareATransactionAndAConflictStaysAlone)
+TEST(Claims, BatchesClaimsAndReadsOnlyConflictingOnes)
 {
   Claims claims = Claims::Create();
   Instant now{ 1h };
@@ -198,7 +201,7 @@
   LONGS_EQUAL(29, std::get<WriteClaims>(next.at(1)).rows.size());
 }
 
-TEST(Claims, AnOutageRefusesAsNotRun)
+TEST(Claims, AnOutageFailsTheClaimAsNotClaimed)
 {
   Claims claims = Claims::Create();
   Instant now{ 1h };
--- a/src/jujubehead/core/permit_book.cpp
+++ b/src/jujubehead/core/permit_book.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Duration kLeastRetry = std::chrono::milliseconds(100);
-constexpr Duration kMostRetry = std::chrono::seconds(30);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(30);
 
 PermitRefused
 Refusal(const PermitRequest& aRequest, RefusalReason aReason, Duration aWait)
@@ -19,7 +19,7 @@
   return { aRequest.request,
            aRequest.holder,
            aReason,
-           std::clamp(aWait, kLeastRetry, kMostRetry),
+           std::clamp(aWait, kMinRetryAfter, kMaxRetryAfter),
            aRequest.mark };
 }
 
@@ -45,10 +45,10 @@
 
   void Request(const PermitRequest& aRequest, Instant aNow)
   {
-    m_ledger.Heard(aRequest.holder, aRequest.process, aNow);
+    m_ledger.RecordContact(aRequest.holder, aRequest.process, aNow);
     if (LedgerEntry* entry = m_ledger.Find(aRequest.request)) {
       entry->mark = aRequest.mark;
-      entry->heard_at = aNow;
+      entry->last_request_at = aNow;
       m_decided.emplace_back(Grant(*entry));
     } else if (WaitingRequest* waiting = m_queue.Find(aRequest.request)) {
       waiting->request.mark = aRequest.mark;
@@ -70,22 +70,22 @@
   {
     if (LedgerEntry* entry = m_ledger.Find(aPermit)) {
       entry->started = true;
-      m_ledger.Heard(entry->held.holder, entry->held.process, aNow);
+      m_ledger.RecordContact(entry->held.holder, entry->held.process, aNow);
     }
   }
 
   void Release(const PermitId& aPermit, Instant aNow)
   {
     if (const auto entry = m_ledger.Release(aPermit)) {
-      m_ledger.Heard(entry->held.holder, entry->held.process, aNow);
-      Settle(*entry, aNow);
+      m_ledger.RecordContact(entry->held.holder, entry->held.process, aNow);
+      SettleRun(*entry, aNow);
     }
   }
 
   std::vector<PermitDecision> Decide(Instant aNow)
   {
-    RefuseHopeless(aNow);
-    while (m_admits && m_ledger.Taken() < m_limit) {
+    RefuseExpired(aNow);
+    while (m_admits && m_ledger.UsedSlots() < m_limit) {
       auto chosen = m_queue.Pop(aNow - m_rules.repeat_within);
       if (!chosen) {
         break;
@@ -97,12 +97,13 @@
 
   [[nodiscard]] PermitQuote Quote(const AccountId& aAccount) const
   {
-    const std::uint32_t taken = m_ledger.Taken();
+    const std::uint32_t taken = m_ledger.UsedSlots();
     const auto ahead = m_queue.SizeOf(aAccount);
     return { taken,
              m_queue.Size(),
              m_limit,
-             m_queue.ExpectedWait(aAccount, ahead, Places(), Free()) };
+             m_queue.ExpectedWait(
+               aAccount, ahead, UsableSlots(), FreeSlots()) };
   }
 
   void Adopt(std::span<const HeldPermit> aPermits, Instant aNow)
@@ -117,15 +118,15 @@
   void AcceptHolding(const HoldingsAnswer& aAnswer, Instant aNow)
   {
     Adopt(aAnswer.held, aNow);
-    for (const LedgerEntry& entry : m_ledger.Accept(aAnswer, aNow)) {
-      Return(entry);
+    for (const LedgerEntry& entry : m_ledger.ApplyAnswer(aAnswer, aNow)) {
+      ReturnSlot(entry);
     }
   }
 
   void ObserveTargetReport(const TargetReport& aReport)
   {
-    for (const LedgerEntry& entry : m_ledger.Observe(aReport)) {
-      Return(entry);
+    for (const LedgerEntry& entry : m_ledger.ApplyReport(aReport)) {
+      ReturnSlot(entry);
     }
   }
 
@@ -150,26 +151,26 @@
   bool m_admits = true;
 
 private:
-  /// Places that runs of this book's accounts may use.
-  [[nodiscard]] std::uint32_t Places() const
+  /// The limit less the reserved slots.
+  [[nodiscard]] std::uint32_t UsableSlots() const
   {
     return m_limit - std::min(m_ledger.Reserved(), m_limit);
   }
 
-  [[nodiscard]] std::uint32_t Free() const
+  [[nodiscard]] std::uint32_t FreeSlots() const
   {
-    return m_limit - std::min(m_ledger.Taken(), m_limit);
+    return m_limit - std::min(m_ledger.UsedSlots(), m_limit);
   }
 
-  [[nodiscard]] Duration Wait(const PermitRequest& aRequest) const
+  [[nodiscard]] Duration ExpectedWait(const PermitRequest& aRequest) const
   {
     return m_queue.ExpectedWait(
-      aRequest.account, m_queue.Ahead(aRequest), Places(), Free());
+      aRequest.account, m_queue.Ahead(aRequest), UsableSlots(), FreeSlots());
   }
 
   void Refuse(const PermitRequest& aRequest, RefusalReason aReason)
   {
-    m_decided.emplace_back(Refusal(aRequest, aReason, Wait(aRequest)));
+    m_decided.emplace_back(Refusal(aRequest, aReason, ExpectedWait(aRequest)));
   }
 
   void Enqueue(const PermitRequest& aRequest, Instant aNow)
@@ -181,17 +182,17 @@
       Refuse(aRequest, RefusalReason::kNoShare);
     } else if (m_queue.SizeOf(aRequest.account) >= share->max_waiting) {
       Refuse(aRequest, RefusalReason::kQueueFull);
-    } else if (aNow + Wait(aRequest) > aRequest.deadline) {
+    } else if (aNow + ExpectedWait(aRequest) > aRequest.deadline) {
       Refuse(aRequest, RefusalReason::kDeadline);
     } else {
       m_queue.Push({ aRequest, aNow });
     }
   }
 
-  void RefuseHopeless(Instant aNow)
+  void RefuseExpired(Instant aNow)
   {
     for (const WaitingRequest& waiting :
-         m_queue.TakeHopeless(aNow, aNow - m_rules.drop_after)) {
+         m_queue.TakeHopeless(aNow, aNow - m_rules.request_timeout)) {
       const bool silent = waiting.request.deadline >= aNow;
       Refuse(waiting.request,
              silent ? RefusalReason::kHolderSilent : RefusalReason::kDeadline);
@@ -203,7 +204,7 @@
     return { aEntry.held.request,
              aEntry.held.holder,
              aEntry.held.permit,
-             aEntry.heard_at + m_rules.start_window,
+             aEntry.last_request_at + m_rules.start_window,
              aEntry.mark };
   }
 
@@ -217,7 +218,7 @@
                    request.account,
                    request.process };
     entry.granted_at = aNow;
-    entry.heard_at = aChosen.waiting.heard_at;
+    entry.last_request_at = aChosen.waiting.heard_at;
     entry.confirmed_at = aNow;
     entry.cost_tokens = request.cost_tokens;
     entry.charged = aChosen.charged;
@@ -226,8 +227,8 @@
     m_ledger.Add(std::move(entry));
   }
 
-  /// A run ended and its length is known.
-  void Settle(const LedgerEntry& aEntry, Instant aNow)
+  /// Settles a run whose duration is known.
+  void SettleRun(const LedgerEntry& aEntry, Instant aNow)
   {
     if (aEntry.held.permit.epoch != m_epoch) {
       m_queue.CountEnded(aEntry.held.account);
@@ -240,8 +241,8 @@
     }
   }
 
-  /// A place came back; when the run ended is not known.
-  void Return(const LedgerEntry& aEntry)
+  /// Frees a slot whose run ended at an unknown time.
+  void ReturnSlot(const LedgerEntry& aEntry)
   {
     m_queue.CountEnded(aEntry.held.account);
   }
@@ -329,9 +330,9 @@
 }
 
 void
-PermitBook::ReserveUnknown(std::uint32_t aCount, Instant aStartsEnd)
+PermitBook::ReserveUnknown(std::uint32_t aCount, Instant aLastStart)
 {
-  m_impl->m_ledger.ReserveUnknown(aCount, aStartsEnd);
+  m_impl->m_ledger.ReserveUnknown(aCount, aLastStart);
 }
 
 void
--- a/src/jujubehead/core/permit_holder.cpp
+++ b/src/jujubehead/core/permit_holder.cpp
@@ -46,8 +46,9 @@
     return GiveBackPermit{ permit };
   }
   const bool late = aNow >= aSentAt + m_rules.start_window;
-  if (late || permit <= waiting->second.given_back) {
-    waiting->second.given_back = std::max(waiting->second.given_back, permit);
+  if (late || permit <= waiting->second.last_returned) {
+    waiting->second.last_returned =
+      std::max(waiting->second.last_returned, permit);
     return GiveBackPermit{ permit };
   }
   m_held.emplace(
--- a/src/jujubehead/core/permit_ledger.hpp
+++ b/src/jujubehead/core/permit_ledger.hpp
@@ -12,21 +12,21 @@
 
 namespace jujubehead::core {
 
-/// @brief One permit that is out.
+/// @brief One outstanding permit.
 struct LedgerEntry
 {
   HeldPermit held;
   Instant granted_at;
-  Instant heard_at;     ///< Of the message that the latest grant answers.
-  Instant confirmed_at; ///< When its holder last listed it, or the grant.
+  Instant last_request_at; ///< Of the message that the latest grant answers.
+  Instant confirmed_at;    ///< When its holder last listed it, or the grant.
   bool started = false;
   std::uint32_t cost_tokens = 1;
   Duration charged{};
   std::uint64_t mark = 0;
 };
 
-/// @brief Accounts for every place of a target: permits that are out, runs
-/// that only the target knows, and a reserve for what nobody told of.
+/// @brief Accounts for every used slot of a target: outstanding permits, runs
+/// that only the target reports, and a reserve for unreported permits.
 class PermitLedger
 {
 public:
@@ -36,23 +36,27 @@
   {
   }
 
-  /// @return places taken or reserved.
-  [[nodiscard]] std::uint32_t Taken() const;
+  /// @return slots used or reserved.
+  [[nodiscard]] std::uint32_t UsedSlots() const;
   [[nodiscard]] std::uint32_t Reserved() const;
 
   void Add(LedgerEntry aEntry);
   [[nodiscard]] LedgerEntry* Find(const RequestId& aRequest);
   [[nodiscard]] LedgerEntry* Find(const PermitId& aPermit);
   std::optional<LedgerEntry> Release(const PermitId& aPermit);
-  void Heard(const InstanceId& aHolder, std::uint64_t aProcess, Instant aNow);
+  void RecordContact(const InstanceId& aHolder,
+                     std::uint64_t aProcess,
+                     Instant aNow);
 
-  void ReserveUnknown(std::uint32_t aCount, Instant aStartsEnd);
-  /// @return whether it was not known before.
+  void ReserveUnknown(std::uint32_t aCount, Instant aLastStart);
+  /// @return whether the permit is new to the ledger.
   bool Adopt(const HeldPermit& aHeld, Instant aNow);
-  /// @return what the holder no longer holds.
-  std::vector<LedgerEntry> Accept(const HoldingsAnswer& aAnswer, Instant aNow);
-  /// @return what the target no longer runs, of silent holders.
-  std::vector<LedgerEntry> Observe(const TargetReport& aReport);
+  /// @return the entries that the holder no longer holds.
+  std::vector<LedgerEntry> ApplyAnswer(const HoldingsAnswer& aAnswer,
+                                       Instant aNow);
+  /// @return the entries of unresponsive holders that the target no longer
+  /// runs.
+  std::vector<LedgerEntry> ApplyReport(const TargetReport& aReport);
 
   [[nodiscard]] std::vector<InstanceId> HoldersToAsk(Instant aNow) const;
   [[nodiscard]] bool NeedsTargetReport(Instant aNow) const;
@@ -65,23 +69,24 @@
     Instant at;
   };
 
-  /// @return whether the holder's process is gone or did not speak for long.
-  [[nodiscard]] bool IsSilent(const HeldPermit& aHeld, Instant aNow) const;
-  void SettleUnknown(const std::set<RequestId>& aRunning, Instant aAsOf);
-  std::vector<LedgerEntry> DropVanished(const std::set<RequestId>& aRunning,
-                                        Instant aAsOf);
-  void AccountOne();
+  /// @return whether the holder's process was replaced or has timed out.
+  [[nodiscard]] bool IsUnresponsive(const HeldPermit& aHeld,
+                                    Instant aNow) const;
+  void ResolveUnknown(const std::set<RequestId>& aRunning, Instant aAsOf);
+  std::vector<LedgerEntry> RemoveNotRunning(const std::set<RequestId>& aRunning,
+                                            Instant aAsOf);
+  void ReduceUnknown();
 
   std::uint64_t m_epoch;
   PermitRules m_rules;
-  std::map<PermitId, LedgerEntry> m_out;
+  std::map<PermitId, LedgerEntry> m_outstanding;
   std::unordered_map<RequestId, PermitId> m_by_request;
-  std::map<InstanceId, Contact> m_heard;
-  /// Of earlier epochs: released, so that a late answer does not revive them.
-  std::set<PermitId> m_ended_before;
+  std::map<InstanceId, Contact> m_contacts;
+  /// Released permits of earlier epochs; a late answer must not add them again.
+  std::set<PermitId> m_released_earlier;
   std::uint32_t m_unknown = 0;
-  Instant m_starts_end;
-  std::set<RequestId> m_strays; ///< Run by the target, held by nobody known.
+  Instant m_last_start;
+  std::set<RequestId> m_unattributed; ///< Run by the target; no known holder.
 };
 
 } // namespace jujubehead::core
