--- a/include/jujubehead/core/candidates.hpp
+++ b/include/jujubehead/core/candidates.hpp
@@ -12,25 +12,25 @@
 
 namespace jujubehead::core {
 
-/// @brief How many targets of each kind are asked for a quote.
+/// @brief How many targets of each kind are queried for a quote.
 struct CandidateSettings
 {
-  std::size_t holders = 3; ///< Believed to have the context.
-  std::size_t homes = 2;   ///< By rendezvous hash of the context.
-  std::size_t others = 1;  ///< Drawn at random.
+  std::size_t holders = 3; ///< That have the context, by directory hints.
+  std::size_t hashed = 2;  ///< By rendezvous hash of the context.
+  std::size_t random = 1;  ///< Drawn at random.
 };
 
-/// @brief Chooses the targets whose owners are asked for a quote.
+/// @brief Selects the targets whose owners are queried for a quote.
 ///
-/// Holders come first. A context that has to move goes to one of its few homes
-/// rather than anywhere, so that what it leaves behind is found again and the
-/// caches of other targets stay as they are. A random one keeps a busy home
-/// from being the only choice.
-/// @param aHints of the directory, longest prefix first.
+/// Holders come first. A context that has to move goes to one of a few targets
+/// chosen by hash, so that later requests find its blocks there and the caches
+/// of other targets are not displaced. A random target adds an alternative when
+/// the hashed ones are busy.
+/// @param aHints from the directory, longest prefix first.
 /// @param aRoot the key of the context's first block.
-/// @param aTargets that serve the model, in any order.
+/// @param aTargets the targets that serve the model, in any order.
 /// @param aDraw random bits.
-/// @return each at most once, the most promising first.
+/// @return each target at most once: holders, then hashed, then random.
 std::vector<TargetId>
 PickCandidates(std::span<const PrefixHint> aHints,
                const ContextKey& aRoot,
--- a/include/jujubehead/core/rendezvous.hpp
+++ b/include/jujubehead/core/rendezvous.hpp
@@ -14,21 +14,21 @@
 namespace jujubehead::core {
 
 /// @brief Rendezvous (highest random weight) hashing: each instance gets a
-/// weight for the key, the highest wins. A member that comes or goes moves
-/// only the keys that it gains or had.
+/// weight for the key, the highest wins. A member that joins or leaves moves
+/// only its own keys.
 /// @param aInstances the live members, in any order.
-/// @return the key's home; nothing when there are no members.
+/// @return the member with the highest weight; nullopt if there are no members.
 std::optional<InstanceId>
 HomeOf(const ContextKey& aKey, std::span<const InstanceId> aInstances);
 
-/// @return at most aCount members by falling weight for the key; the first is
-/// its home, the others would follow it.
+/// @return at most aCount members by descending weight for the key: the owner
+/// of the key first, then its successors.
 std::vector<InstanceId>
 HomesOf(const ContextKey& aKey,
         std::span<const InstanceId> aInstances,
         std::size_t aCount);
 
-/// @brief As above, for keys that are names.
+/// @brief As above, for a key given as a string.
 std::vector<InstanceId>
 HomesOf(std::string_view aKey,
         std::span<const InstanceId> aInstances,
@@ -36,11 +36,11 @@
 
 namespace detail {
 
-/// @return the hash of a name; the same on every machine.
+/// @return the hash of a name; identical on every machine.
 std::uint64_t
 HashName(std::string_view aName);
 
-/// @return the weight of a member for a key; the same on every machine.
+/// @return the weight of a member for a key; identical on every machine.
 std::uint64_t
 RendezvousWeight(const ContextKey& aKey, std::string_view aName);
 
--- a/include/jujubehead/core/router.hpp
+++ b/include/jujubehead/core/router.hpp
@@ -12,7 +12,7 @@
 
 namespace jujubehead::core {
 
-/// @brief What a target's owner quotes for a request.
+/// @brief A target as its owner quotes it for a request.
 struct TargetView
 {
   TargetId target;
@@ -23,7 +23,7 @@
   bool admits = false;                  ///< Limits allow the request.
   std::uint32_t running = 0;
   std::uint32_t limit = 0;
-  /// The engine computes the first missing blocks while later ones arrive.
+  /// The engine computes the first missing blocks while it imports later ones.
   bool computes_during_import = false;
 };
 
@@ -33,7 +33,7 @@
   StoreId store;
   std::string handle;
   std::uint64_t generation = 0;
-  std::uint32_t blocks = 0;    ///< Prefix of the prompt that it holds.
+  std::uint32_t blocks = 0;    ///< Length of the stored prefix.
   Duration link_wait{};        ///< Until an import could start.
   double bytes_per_second = 0; ///< Of the store's link.
   std::uint32_t bytes_per_block = 0;
@@ -42,26 +42,27 @@
   friend bool operator==(const StoredCopy&, const StoredCopy&) = default;
 };
 
-/// @brief What a request needs and what its deployment weighs.
+/// @brief The context of a request, and the weights used to rank its routes.
 struct RouteQuery
 {
   std::uint32_t blocks = 0;           ///< Full blocks of the prompt.
   std::uint32_t tokens_per_block = 0; ///< Tokens in a block.
   std::uint32_t tail_tokens = 0;      ///< Tokens after the last full block.
-  /// Seconds of waiting that saving one token's recomputing is worth.
+  /// Seconds of waiting that are worth as much as recomputing one token.
   double recompute_price = 0;
   DataCentreId data_centre; ///< Where the caller's entry is.
 };
 
-/// @brief One way to serve the request, and what it is expected to cost.
+/// @brief One way to serve the request, and its expected cost.
 struct RoutePlan
 {
   TargetId target;
   std::uint32_t cached_blocks = 0;
   std::uint32_t imported_blocks = 0;
   std::uint32_t recomputed_blocks = 0;
-  /// First block to import: those between the cached ones and it are computed
-  /// while the import runs. Only where the engine can; else cached_blocks.
+  /// First block to import. Blocks between the cached ones and this are
+  /// computed during the import, if the engine supports that; else
+  /// cached_blocks.
   std::uint32_t import_from = 0;
   std::optional<StoredCopy> import;
   Duration expected_first_token{};
@@ -70,13 +71,13 @@
 
 /// @brief Ranks the ways to serve a request.
 ///
-/// For each target the cheapest way to have the context: what is cached there,
-/// blocks from a store, the rest computed. The cost in seconds is the expected
-/// time to first token, plus the price of the tokens that are computed although
-/// the context may have been seen before, plus the delay that an import causes
-/// to later ones, which grows as the link fills up.
-/// @return one plan a target that admits the request, cheapest first; equal
-/// costs by the share of the limit that runs, then in the order given.
+/// For each target, takes the cheapest way to build the context: blocks cached
+/// there, blocks imported from a store, the rest computed. The cost in seconds
+/// is the expected time to first token, plus the price of the tokens in
+/// recomputed blocks, which may have been computed before, plus the delay that
+/// an import causes to later ones, which grows with the use of the link.
+/// @return one plan per target that admits the request, cheapest first; equal
+/// costs by the share of the limit in use, then in the order given.
 std::vector<RoutePlan>
 RankRoutes(const RouteQuery& aQuery,
            std::span<const TargetView> aTargets,
--- a/src/jujubehead/core/candidates.cpp
+++ b/src/jujubehead/core/candidates.cpp
@@ -9,11 +9,11 @@
 namespace jujubehead::core {
 namespace {
 
-/// Collects targets that are among the allowed ones, each once.
-class Picker
+/// Collects targets out of the allowed ones, without duplicates.
+class CandidateList
 {
 public:
-  explicit Picker(std::span<const TargetId> aTargets)
+  explicit CandidateList(std::span<const TargetId> aTargets)
     : m_targets(aTargets)
   {
   }
@@ -30,7 +30,7 @@
     }
   }
 
-  void AddHomes(const ContextKey& aRoot, std::size_t aCount)
+  void AddHashed(const ContextKey& aRoot, std::size_t aCount)
   {
     std::vector<std::pair<std::uint64_t, const TargetId*>> weighted;
     weighted.reserve(m_targets.size());
@@ -52,21 +52,21 @@
     }
   }
 
-  /// Every target is as likely as any other that is not picked yet.
-  void AddOthers(std::uint64_t aDraw, std::size_t aCount)
+  /// Draws uniformly from the targets that are not picked yet.
+  void AddRandom(std::uint64_t aDraw, std::size_t aCount)
   {
-    std::vector<const TargetId*> rest;
+    std::vector<const TargetId*> remaining;
     for (const TargetId& target : m_targets) {
       if (!IsIn(m_picked, target)) {
-        rest.push_back(&target);
+        remaining.push_back(&target);
       }
     }
-    for (std::size_t i = 0; i < aCount && !rest.empty(); ++i) {
-      const auto place =
-        rest.begin() + static_cast<std::ptrdiff_t>(aDraw % rest.size());
-      aDraw /= rest.size();
-      Add(**place);
-      rest.erase(place);
+    for (std::size_t i = 0; i < aCount && !remaining.empty(); ++i) {
+      const auto chosen = remaining.begin() +
+                          static_cast<std::ptrdiff_t>(aDraw % remaining.size());
+      aDraw /= remaining.size();
+      Add(**chosen);
+      remaining.erase(chosen);
     }
   }
 
@@ -99,11 +99,11 @@
                std::uint64_t aDraw,
                const CandidateSettings& aSettings)
 {
-  Picker picker(aTargets);
-  picker.AddHolders(aHints, aSettings.holders);
-  picker.AddHomes(aRoot, aSettings.homes);
-  picker.AddOthers(aDraw, aSettings.others);
-  return picker.Take();
+  CandidateList candidates(aTargets);
+  candidates.AddHolders(aHints, aSettings.holders);
+  candidates.AddHashed(aRoot, aSettings.hashed);
+  candidates.AddRandom(aDraw, aSettings.random);
+  return candidates.Take();
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/candidates_test.cpp
+++ b/src/jujubehead/core/candidates_test.cpp
@@ -33,7 +33,7 @@
 
 TEST_GROUP(Candidates){};
 
-TEST(Candidates, HoldersComeFirstAndOnlyThoseThatServe)
+TEST(Candidates, HoldersComeFirstIfTheyServeTheModel)
 {
   const std::vector<PrefixHint> hints{
     { TargetId("gone"), 9, std::nullopt },
@@ -46,16 +46,16 @@
         picked.end());
 }
 
-TEST(Candidates, AContextKeepsItsHomes)
+TEST(Candidates, HashedTargetsDoNotDependOnTheDraw)
 {
-  const CandidateSettings homesOnly{ 0, 2, 0 };
-  const auto first = PickCandidates({}, Root(1), Targets(9), 1, homesOnly);
-  const auto second = PickCandidates({}, Root(1), Targets(9), 99, homesOnly);
+  const CandidateSettings hashed_only{ 0, 2, 0 };
+  const auto first = PickCandidates({}, Root(1), Targets(9), 1, hashed_only);
+  const auto second = PickCandidates({}, Root(1), Targets(9), 99, hashed_only);
   CHECK_EQUAL(2, first.size());
   CHECK(first == second);
 }
 
-TEST(Candidates, EveryTargetIsDrawnAtTimesAndNoneTwice)
+TEST(Candidates, EveryTargetIsDrawnEventuallyAndNoneTwice)
 {
   std::set<TargetId> seen;
   for (std::uint64_t draw = 0; draw < 100; ++draw) {
--- a/src/jujubehead/core/permit_book_test.cpp
+++ b/src/jujubehead/core/permit_book_test.cpp
@@ -10,40 +10,41 @@
 
 namespace {
 
-const AccountId kHome("home");
-const AccountId kPanel("panel");
+const AccountId kAccount("account");
+const AccountId kOtherAccount("other-account");
 const InstanceId kEntry("entry");
 
-struct Bench
+struct Fixture
 {
-  PermitBook book = PermitBook::ForEpoch(3, 4);
+  PermitBook scheduler = PermitBook::ForEpoch(3, 4);
   Instant now{ 1h };
   int next = 0;
 
-  Bench()
+  Fixture()
   {
-    book.SetShare({ kHome, 1, 4, 100 });
-    book.SetShare({ kPanel, 3, 4, 100 });
+    scheduler.SetShare({ kAccount, 1, 4, 100 });
+    scheduler.SetShare({ kOtherAccount, 3, 4, 100 });
   }
 
-  RequestId Ask(const AccountId& aAccount, Duration aDeadline = 60s)
+  RequestId SendRequest(const AccountId& aAccount, Duration aDeadline = 60s)
   {
     RequestId request("r" + std::to_string(next++));
-    Repeat(request, aAccount, aDeadline);
+    Resend(request, aAccount, aDeadline);
     return request;
   }
 
-  void Repeat(const RequestId& aRequest,
+  void Resend(const RequestId& aRequest,
               const AccountId& aAccount,
               Duration aDeadline = 60s)
   {
-    book.Request({ aRequest, kEntry, aAccount, 0, now + aDeadline, 1, 7 }, now);
+    scheduler.Request({ aRequest, kEntry, aAccount, 0, now + aDeadline, 1, 7 },
+                      now);
   }
 
   std::vector<PermitGranted> Granted()
   {
     std::vector<PermitGranted> granted;
-    for (const auto& decision : book.Decide(now)) {
+    for (const auto& decision : scheduler.Decide(now)) {
       if (const auto* grant = std::get_if<PermitGranted>(&decision)) {
         granted.push_back(*grant);
       }
@@ -56,89 +57,90 @@
 
 TEST_GROUP(PermitBook)
 {
-  Bench bench;
+  Fixture fixture;
 };
 
-TEST(PermitBook, GrantsUpToTheLimitAndAgainAsPlacesComeBack)
+TEST(PermitBook, GrantsUpToTheLimitAndAgainAfterReleases)
 {
   for (int i = 0; i < 6; ++i) {
-    bench.Ask(kHome);
+    fixture.SendRequest(kAccount);
   }
-  const auto first = bench.Granted();
+  const auto first = fixture.Granted();
   CHECK_EQUAL(4, first.size());
-  CHECK_EQUAL(0, bench.Granted().size());
-  bench.book.Release(first.front().permit, bench.now);
-  CHECK_EQUAL(1, bench.Granted().size());
+  CHECK_EQUAL(0, fixture.Granted().size());
+  fixture.scheduler.Release(first.front().permit, fixture.now);
+  CHECK_EQUAL(1, fixture.Granted().size());
 }
 
-TEST(PermitBook, ARepeatOfAGrantedRequestGetsTheSamePermit)
+TEST(PermitBook, AResentGrantedRequestGetsTheSamePermit)
 {
-  const RequestId request = bench.Ask(kHome);
-  const auto first = bench.Granted();
-  bench.now += 1s;
-  bench.Repeat(request, kHome);
-  const auto again = bench.Granted();
+  const RequestId request = fixture.SendRequest(kAccount);
+  const auto first = fixture.Granted();
+  fixture.now += 1s;
+  fixture.Resend(request, kAccount);
+  const auto again = fixture.Granted();
   CHECK_EQUAL(1, again.size());
   CHECK(first.front().permit == again.front().permit);
-  CHECK_EQUAL(1, bench.book.Held().size());
+  CHECK_EQUAL(1, fixture.scheduler.Held().size());
 }
 
-TEST(PermitBook, ANewOwnerReservesWhatNobodyToldOf)
+TEST(PermitBook, ANewOwnerReservesUnreportedPermits)
 {
-  bench.book.ReserveUnknown(4, bench.now + 2s);
-  bench.Ask(kHome);
-  CHECK_EQUAL(0, bench.Granted().size());
-
-  const HeldPermit old{ { 2, 9 }, RequestId("old"), kEntry, kHome };
-  bench.book.AcceptHolding({ kEntry, bench.book.Query().up_to, { old } },
-                           bench.now);
-  CHECK_EQUAL(3, bench.book.Reserved());
-  bench.book.Release(old.permit, bench.now);
-  CHECK_EQUAL(1, bench.Granted().size());
+  fixture.scheduler.ReserveUnknown(4, fixture.now + 2s);
+  fixture.SendRequest(kAccount);
+  CHECK_EQUAL(0, fixture.Granted().size());
+
+  const HeldPermit old{ { 2, 9 }, RequestId("old"), kEntry, kAccount };
+  fixture.scheduler.AcceptHolding(
+    { kEntry, fixture.scheduler.Query().up_to, { old } }, fixture.now);
+  CHECK_EQUAL(3, fixture.scheduler.Reserved());
+  fixture.scheduler.Release(old.permit, fixture.now);
+  CHECK_EQUAL(1, fixture.Granted().size());
 }
 
-TEST(PermitBook, TheTargetsOwnReportSetsPlacesFree)
+TEST(PermitBook, ATargetReportFreesReservedSlots)
 {
-  bench.book.ReserveUnknown(4, bench.now + 2s);
-  bench.book.ObserveTargetReport({ bench.now, {} });
-  CHECK_EQUAL(4, bench.book.Reserved());
-  bench.book.ObserveTargetReport({ bench.now + 4s, { RequestId("stray") } });
-  CHECK_EQUAL(1, bench.book.Reserved());
-  bench.book.ObserveTargetReport({ bench.now + 5s, {} });
-  CHECK_EQUAL(0, bench.book.Reserved());
+  fixture.scheduler.ReserveUnknown(4, fixture.now + 2s);
+  fixture.scheduler.ObserveTargetReport({ fixture.now, {} });
+  CHECK_EQUAL(4, fixture.scheduler.Reserved());
+  fixture.scheduler.ObserveTargetReport(
+    { fixture.now + 4s, { RequestId("unattributed") } });
+  CHECK_EQUAL(1, fixture.scheduler.Reserved());
+  fixture.scheduler.ObserveTargetReport({ fixture.now + 5s, {} });
+  CHECK_EQUAL(0, fixture.scheduler.Reserved());
 }
 
-TEST(PermitBook, RefusesEarlyWhatCannotStartInTime)
+TEST(PermitBook, RefusesARequestThatCannotStartByItsDeadline)
 {
   for (int i = 0; i < 4; ++i) {
-    bench.Ask(kHome);
+    fixture.SendRequest(kAccount);
   }
-  for (const PermitGranted& grant : bench.Granted()) {
-    bench.book.Started(grant.permit, bench.now);
+  for (const PermitGranted& grant : fixture.Granted()) {
+    fixture.scheduler.Started(grant.permit, fixture.now);
   }
-  bench.now += 10s;
-  for (const HeldPermit& held : bench.book.Held()) {
-    bench.book.Release(held.permit, bench.now);
+  fixture.now += 10s;
+  for (const HeldPermit& held : fixture.scheduler.Held()) {
+    fixture.scheduler.Release(held.permit, fixture.now);
   }
   for (int i = 0; i < 8; ++i) {
-    bench.Ask(kHome);
+    fixture.SendRequest(kAccount);
   }
-  CHECK_EQUAL(4, bench.Granted().size());
-  bench.Ask(kHome, 2s);
-  const auto decided = bench.book.Decide(bench.now);
+  CHECK_EQUAL(4, fixture.Granted().size());
+  fixture.SendRequest(kAccount, 2s);
+  const auto decided = fixture.scheduler.Decide(fixture.now);
   CHECK_EQUAL(1, decided.size());
   const auto* refusal = std::get_if<PermitRefused>(&decided.front());
   CHECK(refusal != nullptr && refusal->reason == RefusalReason::kDeadline);
   CHECK(refusal->retry_after > 2s);
 }
 
-TEST(PermitBook, AStopRefusesWhatWaitsAndKeepsWhatRuns)
+TEST(PermitBook, StoppingRefusesWaitingRequestsAndKeepsRunningOnes)
 {
   for (int i = 0; i < 6; ++i) {
-    bench.Ask(kHome);
+    fixture.SendRequest(kAccount);
   }
-  CHECK_EQUAL(4, bench.Granted().size());
-  bench.book.StopAdmitting();
-  CHECK_EQUAL(2, bench.book.Decide(bench.now).size());
-  CHECK_EQUAL(4, bench.book.Held().size());
+  CHECK_EQUAL(4, fixture.Granted().size());
+  fixture.scheduler.StopAdmitting();
+  CHECK_EQUAL(2, fixture.scheduler.Decide(fixture.now).size());
+  CHECK_EQUAL(4, fixture.scheduler.Held().size());
 }
--- a/src/jujubehead/core/permit_shares_test.cpp
+++ b/src/jujubehead/core/permit_shares_test.cpp
@@ -14,27 +14,27 @@
 const InstanceId kEntry("entry");
 constexpr Duration kStep = 10ms;
 
-/// One target under load, in steps of 10 ms.
-class Load
+/// Simulates one target under load in steps of 10 ms.
+class TargetSimulation
 {
 public:
   struct Account
   {
     std::uint32_t weight = 1;
-    double per_second = 0; ///< Requests offered.
-    int run_ms = 500;      ///< Mean; runs last from half to one and a half.
-    Duration patience = 2s;
+    double per_second = 0; ///< Request rate.
+    int run_ms = 500;      ///< Mean; uniform from 0.5 to 1.5 times this.
+    Duration start_timeout = 2s;
   };
 
-  explicit Load(std::uint32_t aLimit)
-    : m_book(PermitBook::ForEpoch(1, aLimit))
+  explicit TargetSimulation(std::uint32_t aLimit)
+    : m_scheduler(PermitBook::ForEpoch(1, aLimit))
     , m_limit(aLimit)
   {
   }
 
   void Set(const std::string& aName, Account aAccount)
   {
-    m_book.SetShare({ AccountId(aName), aAccount.weight, m_limit, 200 });
+    m_scheduler.SetShare({ AccountId(aName), aAccount.weight, m_limit, 200 });
     m_accounts[aName] = aAccount;
   }
 
@@ -48,7 +48,7 @@
     }
   }
 
-  /// @return the account's part of the time that places were occupied.
+  /// @return the account's share of the time that slots were occupied.
   double Share(const std::string& aName)
   {
     double all = 0;
@@ -71,7 +71,7 @@
   {
     for (auto it = m_runs.begin(); it != m_runs.end();) {
       if (it->second.end <= m_now) {
-        m_book.Release(it->first, m_now);
+        m_scheduler.Release(it->first, m_now);
         ++m_finished;
         it = m_runs.erase(it);
       } else {
@@ -82,48 +82,49 @@
     for (const auto& [name, account] : m_accounts) {
       Offer(name, account);
     }
-    for (const auto& [request, ask] : m_waiting) {
-      m_book.Request(ask, m_now);
+    for (const auto& [request, waiting] : m_waiting) {
+      m_scheduler.Request(waiting, m_now);
     }
-    for (const PermitDecision& decision : m_book.Decide(m_now)) {
-      Take(decision);
+    for (const PermitDecision& decision : m_scheduler.Decide(m_now)) {
+      Apply(decision);
     }
   }
 
   void Offer(const std::string& aName, const Account& aAccount)
   {
-    const double chance =
+    const double probability =
       aAccount.per_second * std::chrono::duration<double>(kStep).count();
-    if (static_cast<double>(m_random() % 10000) >= chance * 10000) {
+    if (static_cast<double>(m_random() % 10000) >= probability * 10000) {
       return;
     }
     const RequestId request(aName + std::to_string(m_offered++));
     m_waiting[request] = {
-      request, kEntry, AccountId(aName), 0, m_now + aAccount.patience, 1, 0, 0
+      request, kEntry, AccountId(aName), 0, m_now + aAccount.start_timeout, 1,
+      0,       0
     };
   }
 
-  void Take(const PermitDecision& aDecision)
+  void Apply(const PermitDecision& aDecision)
   {
     const auto* grant = std::get_if<PermitGranted>(&aDecision);
     if (grant == nullptr) {
       m_waiting.erase(std::get<PermitRefused>(aDecision).request);
       return;
     }
-    const auto asked = m_waiting.find(grant->request);
-    if (asked == m_waiting.end()) {
+    const auto found = m_waiting.find(grant->request);
+    if (found == m_waiting.end()) {
       return;
     }
-    const std::string name = asked->second.account.Text();
-    m_waiting.erase(asked);
+    const std::string name = found->second.account.Text();
+    m_waiting.erase(found);
     const int mean = m_accounts.at(name).run_ms;
     const auto span = static_cast<std::uint64_t>(mean);
     const int run = mean / 2 + static_cast<int>(m_random() % span);
     m_runs[grant->permit] = { name, m_now + std::chrono::milliseconds(run) };
-    m_book.Started(grant->permit, m_now);
+    m_scheduler.Started(grant->permit, m_now);
   }
 
-  PermitBook m_book;
+  PermitBook m_scheduler;
   std::uint32_t m_limit;
   Instant m_now{ 1h };
   std::mt19937_64 m_random{ 20261202 };
@@ -139,42 +140,42 @@
 
 TEST_GROUP(PermitShares){};
 
-TEST(PermitShares, HoldWithinFivePercentOverTenSeconds)
+TEST(PermitShares, MatchWeightsWithinFivePointsOverTenSeconds)
 {
-  Load load(8);
-  load.Set("one", { 1, 60, 200 });
-  load.Set("three", { 3, 60, 600 });
-  load.RunFor(10s);
+  TargetSimulation simulation(8);
+  simulation.Set("one", { 1, 60, 200 });
+  simulation.Set("three", { 3, 60, 600 });
+  simulation.RunFor(10s);
   for (int window = 0; window < 10; ++window) {
-    load.RunFor(10s);
-    DOUBLES_EQUAL(0.25, load.Share("one"), 0.05);
+    simulation.RunFor(10s);
+    DOUBLES_EQUAL(0.25, simulation.Share("one"), 0.05);
   }
 }
 
-TEST(PermitShares, AnIdleShareIsLentAndComesBackWithinSeconds)
+TEST(PermitShares, AnIdleShareIsUsedByOthersAndReturnedWithinSeconds)
 {
-  Load load(8);
-  load.Set("one", { 1, 60, 500 });
-  load.Set("three", { 3, 0, 500 });
-  load.RunFor(10s);
-  DOUBLES_EQUAL(1, load.Share("one"), 0.01);
-  load.Set("three", { 3, 60, 500 });
-  load.RunFor(2s);
-  load.RunFor(10s);
-  DOUBLES_EQUAL(0.25, load.Share("one"), 0.05);
+  TargetSimulation simulation(8);
+  simulation.Set("one", { 1, 60, 500 });
+  simulation.Set("three", { 3, 0, 500 });
+  simulation.RunFor(10s);
+  DOUBLES_EQUAL(1, simulation.Share("one"), 0.01);
+  simulation.Set("three", { 3, 60, 500 });
+  simulation.RunFor(2s);
+  simulation.RunFor(10s);
+  DOUBLES_EQUAL(0.25, simulation.Share("one"), 0.05);
 }
 
-TEST(PermitShares, ABurstOfThreeTimesTheCapacityLeavesNothingBehind)
+TEST(PermitShares, ThroughputRecoversAfterABurstOfThreeTimesTheCapacity)
 {
-  Load load(8);
-  load.Set("a", { 1, 12, 500 });
-  load.RunFor(60s);
-  const int before = load.Finished();
-  load.Set("a", { 1, 48, 500 });
-  load.RunFor(60s);
-  CHECK(load.Finished() > before);
-  load.Set("a", { 1, 12, 500 });
-  load.RunFor(10s);
-  load.RunFor(60s);
-  CHECK(load.Finished() > before * 95 / 100);
+  TargetSimulation simulation(8);
+  simulation.Set("a", { 1, 12, 500 });
+  simulation.RunFor(60s);
+  const int before = simulation.Finished();
+  simulation.Set("a", { 1, 48, 500 });
+  simulation.RunFor(60s);
+  CHECK(simulation.Finished() > before);
+  simulation.Set("a", { 1, 12, 500 });
+  simulation.RunFor(10s);
+  simulation.RunFor(60s);
+  CHECK(simulation.Finished() > before * 95 / 100);
 }
--- a/src/jujubehead/core/rendezvous.cpp
+++ b/src/jujubehead/core/rendezvous.cpp
@@ -8,9 +8,9 @@
 
 using Weighted = std::pair<std::uint64_t, const InstanceId*>;
 
-/// Higher weight first; equal weights by name, so that all agree.
+/// Higher weight first; equal weights by name, so that all members agree.
 bool
-Before(const Weighted& aLeft, const Weighted& aRight)
+RanksBefore(const Weighted& aLeft, const Weighted& aRight)
 {
   if (aLeft.first != aRight.first) {
     return aLeft.first > aRight.first;
@@ -18,7 +18,7 @@
   return *aLeft.second < *aRight.second;
 }
 
-/// The finalizer of SplitMix64: every input bit moves every output bit.
+/// The finalizer of SplitMix64: every input bit affects every output bit.
 std::uint64_t
 Mix(std::uint64_t aValue)
 {
@@ -48,9 +48,9 @@
 }
 
 std::vector<InstanceId>
-Heaviest(std::uint64_t aKey,
-         std::span<const InstanceId> aInstances,
-         std::size_t aCount)
+TopByWeight(std::uint64_t aKey,
+            std::span<const InstanceId> aInstances,
+            std::size_t aCount)
 {
   std::vector<Weighted> weighted;
   weighted.reserve(aInstances.size());
@@ -59,13 +59,13 @@
   }
   const std::size_t count = std::min(aCount, weighted.size());
   const auto end = weighted.begin() + static_cast<std::ptrdiff_t>(count);
-  std::partial_sort(weighted.begin(), end, weighted.end(), Before);
-  std::vector<InstanceId> homes;
-  homes.reserve(count);
-  for (auto place = weighted.begin(); place != end; ++place) {
-    homes.push_back(*place->second);
+  std::partial_sort(weighted.begin(), end, weighted.end(), RanksBefore);
+  std::vector<InstanceId> ranked;
+  ranked.reserve(count);
+  for (auto it = weighted.begin(); it != end; ++it) {
+    ranked.push_back(*it->second);
   }
-  return homes;
+  return ranked;
 }
 
 } // namespace
@@ -77,8 +77,8 @@
 HashName(std::string_view aName)
 {
   std::uint64_t hash = 0xCBF29CE484222325U;
-  for (const char letter : aName) {
-    hash ^= static_cast<unsigned char>(letter);
+  for (const char character : aName) {
+    hash ^= static_cast<unsigned char>(character);
     hash *= 0x100000001B3U;
   }
   return hash;
@@ -97,7 +97,7 @@
         std::span<const InstanceId> aInstances,
         std::size_t aCount)
 {
-  return Heaviest(FirstWord(aKey), aInstances, aCount);
+  return TopByWeight(FirstWord(aKey), aInstances, aCount);
 }
 
 std::vector<InstanceId>
@@ -105,17 +105,17 @@
         std::span<const InstanceId> aInstances,
         std::size_t aCount)
 {
-  return Heaviest(detail::HashName(aKey), aInstances, aCount);
+  return TopByWeight(detail::HashName(aKey), aInstances, aCount);
 }
 
 std::optional<InstanceId>
 HomeOf(const ContextKey& aKey, std::span<const InstanceId> aInstances)
 {
-  auto homes = HomesOf(aKey, aInstances, 1);
-  if (homes.empty()) {
+  auto ranked = HomesOf(aKey, aInstances, 1);
+  if (ranked.empty()) {
     return std::nullopt;
   }
-  return std::move(homes.front());
+  return std::move(ranked.front());
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/rendezvous_test.cpp
+++ b/src/jujubehead/core/rendezvous_test.cpp
@@ -37,7 +37,7 @@
 
 TEST_GROUP(Rendezvous){};
 
-TEST(Rendezvous, NobodyIsHomeAmongNoMembers)
+TEST(Rendezvous, NoMembersGiveNoResult)
 {
   CHECK(!HomeOf(ContextKey(), {}));
 }
@@ -55,15 +55,15 @@
   }
 }
 
-TEST(Rendezvous, AMemberThatGoesMovesOnlyItsOwnKeys)
+TEST(Rendezvous, ALeavingMemberMovesOnlyItsOwnKeys)
 {
   auto members = Members(kMembers);
   const auto before = members;
-  const InstanceId gone = members[4];
+  const InstanceId removed = members[4];
   members.erase(members.begin() + 4);
   for (const ContextKey& key : Keys()) {
-    const auto homes = HomesOf(key, before, 2);
-    const auto expected = homes[0] == gone ? homes[1] : homes[0];
+    const auto ranked = HomesOf(key, before, 2);
+    const auto expected = ranked[0] == removed ? ranked[1] : ranked[0];
     CHECK(*HomeOf(key, members) == expected);
   }
 }
@@ -72,7 +72,7 @@
 {
   auto members = Members(kMembers);
   const auto key = Keys().front();
-  const auto home = HomeOf(key, members);
+  const auto first = HomeOf(key, members);
   std::reverse(members.begin(), members.end());
-  CHECK(HomeOf(key, members) == home);
+  CHECK(HomeOf(key, members) == first);
 }
--- a/src/jujubehead/core/router.cpp
+++ b/src/jujubehead/core/router.cpp
@@ -9,18 +9,18 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Extra seconds for a target in another data centre: a round trip.
-constexpr double kOtherDataCentre = 0.002;
-/// Stands for the rate of a target whose rate is not known.
-constexpr double kUnknownRate = 1.0;
-/// No block crosses a link quicker, in seconds.
-constexpr double kShortestBlock = 1e-9;
-/// A link is taken to be no busier than this.
-constexpr double kMostUse = 0.95;
+/// Added for a target in another data centre: one round trip.
+constexpr double kCrossDataCentreSeconds = 0.002;
+/// Assumed for a target whose prefill rate is unknown; ranks it last.
+constexpr double kDefaultTokensPerSecond = 1.0;
+/// Lower bound of the transfer time of a block.
+constexpr double kMinBlockSeconds = 1e-9;
+/// Upper bound of the link use in the delay formula, which diverges at 1.
+constexpr double kMaxLinkUse = 0.95;
 /// Weight of the delay that an import causes to later ones. At 1 callers left
 /// a holder that was busy for a moment; at 10 they computed what a link had
-/// room for.
-constexpr double kLinkToll = 3;
+/// available for.
+constexpr double kImportDelayWeight = 3;
 
 double
 ToSeconds(Duration aDuration)
@@ -31,21 +31,21 @@
 Duration
 ToDuration(double aSeconds)
 {
-  constexpr double kLongest = 1e9;
+  constexpr double kMaxSeconds = 1e9;
   return std::chrono::duration_cast<Duration>(
-    Seconds(std::min(aSeconds, kLongest)));
+    Seconds(std::min(aSeconds, kMaxSeconds)));
 }
 
-/// Share of the target's limit that is in use, for ties.
+/// Share of the target's limit that is in use; breaks ties.
 double
-Fill(const TargetView& aTarget)
+Utilization(const TargetView& aTarget)
 {
   return aTarget.limit == 0 ? 1.0
                             : static_cast<double>(aTarget.running) /
                                 static_cast<double>(aTarget.limit);
 }
 
-/// Plans one target; knows the query and the target.
+/// Plans the routes of one query on one target.
 class TargetPlanner
 {
 public:
@@ -55,10 +55,11 @@
     , m_cached(std::min(aTarget.cached_blocks, aQuery.blocks))
     , m_rate(aTarget.prefill_tokens_per_second > 0
                ? aTarget.prefill_tokens_per_second
-               : kUnknownRate)
-    , m_start(
-        ToSeconds(aTarget.expected_wait) +
-        (aTarget.data_centre == aQuery.data_centre ? 0.0 : kOtherDataCentre))
+               : kDefaultTokensPerSecond)
+    , m_start(ToSeconds(aTarget.expected_wait) +
+              (aTarget.data_centre == aQuery.data_centre
+                 ? 0.0
+                 : kCrossDataCentreSeconds))
   {
   }
 
@@ -67,9 +68,10 @@
     return Plan(0, m_start, m_cached);
   }
 
-  /// The cheapest way to use the copy. The cost is linear in the block where
-  /// the import begins, and in the one where it ends, but for one bend: where
-  /// the import takes as long as the work that goes on beside it.
+  /// The cheapest way to use the copy. The cost is piecewise linear in the
+  /// first and in the last imported block, with one breakpoint each: where the
+  /// import takes as long as the wait or computation in parallel with it. So
+  /// only the ends and the breakpoints are tried.
   [[nodiscard]] RoutePlan Import(const StoredCopy& aCopy) const
   {
     const std::uint32_t end = std::min(aCopy.blocks, m_query.blocks);
@@ -77,15 +79,16 @@
       return Recompute();
     }
     RoutePlan best = ImportRange(aCopy, m_cached, end);
-    TakeCheaper(best, ImportRange(aCopy, m_cached, HiddenByWait(aCopy, end)));
+    KeepCheaper(best,
+                ImportRange(aCopy, m_cached, ImportEndWithinWait(aCopy, end)));
     if (m_target.computes_during_import) {
-      TakeCheaper(best, ImportRange(aCopy, MeetingBlock(aCopy, end), end));
+      KeepCheaper(best, ImportRange(aCopy, MeetingBlock(aCopy, end), end));
     }
     return best;
   }
 
 private:
-  static void TakeCheaper(RoutePlan& aBest, RoutePlan aOther)
+  static void KeepCheaper(RoutePlan& aBest, RoutePlan aOther)
   {
     if (aOther.cost < aBest.cost) {
       aBest = std::move(aOther);
@@ -95,7 +98,7 @@
   [[nodiscard]] double BlockSeconds(const StoredCopy& aCopy) const
   {
     return std::max(aCopy.bytes_per_block / aCopy.bytes_per_second,
-                    kShortestBlock);
+                    kMinBlockSeconds);
   }
 
   [[nodiscard]] double ComputeSeconds(double aBlocks) const
@@ -103,32 +106,34 @@
     return aBlocks * m_query.tokens_per_block / m_rate;
   }
 
-  /// The last block whose import still ends before the wait does.
-  [[nodiscard]] std::uint32_t HiddenByWait(const StoredCopy& aCopy,
-                                           std::uint32_t aMost) const
+  /// The end of the longest import that completes during the wait.
+  [[nodiscard]] std::uint32_t ImportEndWithinWait(const StoredCopy& aCopy,
+                                                  std::uint32_t aMax) const
   {
-    const double room = std::max(0.0, m_start - ToSeconds(aCopy.link_wait));
-    return Clamp(m_cached + room / BlockSeconds(aCopy), aMost);
+    const double available =
+      std::max(0.0, m_start - ToSeconds(aCopy.link_wait));
+    return Clamp(m_cached + available / BlockSeconds(aCopy), aMax);
   }
 
-  /// The block where computing from the front meets importing from the back.
+  /// The first block to import so that the computation of the blocks before it
+  /// ends together with the import.
   [[nodiscard]] std::uint32_t MeetingBlock(const StoredCopy& aCopy,
                                            std::uint32_t aEnd) const
   {
     const double importing =
       ToSeconds(aCopy.link_wait) + (aEnd - m_cached) * BlockSeconds(aCopy);
-    const double ahead = std::max(0.0, importing - m_start);
-    const double both = BlockSeconds(aCopy) + ComputeSeconds(1);
-    return Clamp(m_cached + ahead / both, aEnd);
+    const double head_start = std::max(0.0, importing - m_start);
+    const double block_seconds = BlockSeconds(aCopy) + ComputeSeconds(1);
+    return Clamp(m_cached + head_start / block_seconds, aEnd);
   }
 
-  [[nodiscard]] std::uint32_t Clamp(double aBlock, std::uint32_t aMost) const
+  [[nodiscard]] std::uint32_t Clamp(double aBlock, std::uint32_t aMax) const
   {
-    const double block = std::min<double>(aMost, aBlock);
+    const double block = std::min<double>(aMax, aBlock);
     return std::max(m_cached, static_cast<std::uint32_t>(block));
   }
 
-  /// Computes up to aFrom, imports from there to aEnd, computes the rest.
+  /// Computes up to aFrom, imports from aFrom to aEnd, computes the rest.
   [[nodiscard]] RoutePlan ImportRange(const StoredCopy& aCopy,
                                       std::uint32_t aFrom,
                                       std::uint32_t aEnd) const
@@ -139,15 +144,15 @@
     const double link = (aEnd - aFrom) * BlockSeconds(aCopy);
     const double arrived = ToSeconds(aCopy.link_wait) + link;
     const double computed = m_start + ComputeSeconds(aFrom - m_cached);
-    const double use = std::clamp(aCopy.link_use, 0.0, kMostUse);
+    const double use = std::clamp(aCopy.link_use, 0.0, kMaxLinkUse);
     RoutePlan plan = Plan(aEnd - aFrom, std::max(computed, arrived), aEnd);
     plan.import = aCopy;
     plan.import_from = aFrom;
-    plan.cost += kLinkToll * link * use / (1 - use);
+    plan.cost += kImportDelayWeight * link * use / (1 - use);
     return plan;
   }
 
-  /// @param aReady when the blocks before aEnd are all there.
+  /// @param aReady seconds until all blocks before aEnd are available.
   [[nodiscard]] RoutePlan Plan(std::uint32_t aImported,
                                double aReady,
                                std::uint32_t aEnd) const
@@ -193,16 +198,16 @@
 struct Ranked
 {
   RoutePlan plan;
-  double fill;
+  double utilization;
 };
 
 bool
-Before(const Ranked& aLeft, const Ranked& aRight)
+RanksBefore(const Ranked& aLeft, const Ranked& aRight)
 {
   if (aLeft.plan.cost != aRight.plan.cost) {
     return aLeft.plan.cost < aRight.plan.cost;
   }
-  return aLeft.fill < aRight.fill;
+  return aLeft.utilization < aRight.utilization;
 }
 
 } // namespace
@@ -216,10 +221,11 @@
   ranked.reserve(aTargets.size());
   for (const TargetView& target : aTargets) {
     if (target.admits) {
-      ranked.push_back({ BestOn(aQuery, target, aCopies), Fill(target) });
+      ranked.push_back(
+        { BestOn(aQuery, target, aCopies), Utilization(target) });
     }
   }
-  std::stable_sort(ranked.begin(), ranked.end(), Before);
+  std::stable_sort(ranked.begin(), ranked.end(), RanksBefore);
   std::vector<RoutePlan> plans;
   plans.reserve(ranked.size());
   for (Ranked& entry : ranked) {
--- a/src/jujubehead/core/router_test.cpp
+++ b/src/jujubehead/core/router_test.cpp
@@ -20,7 +20,7 @@
   };
 }
 
-/// A copy whose blocks take a tenth of the time that computing takes.
+/// A copy whose blocks transfer in a tenth of the time to compute them.
 StoredCopy
 Copy(std::uint32_t aBlocks, Duration aLinkWait)
 {
@@ -37,7 +37,7 @@
 
 TEST_GROUP(Router){};
 
-TEST(Router, PrefersTheTargetThatHasTheContext)
+TEST(Router, PrefersTheTargetWithTheCachedContext)
 {
   const std::vector targets{ Target("empty", 0ms, 0),
                              Target("has", 500ms, 10) };
@@ -48,13 +48,13 @@
   CHECK_EQUAL(0, plans[0].recomputed_blocks);
 }
 
-TEST(Router, LeavesTheHolderWhenItsQueueCostsMoreThanComputing)
+TEST(Router, AvoidsACachedTargetWhoseQueueCostsMoreThanComputing)
 {
   const std::vector targets{ Target("empty", 0ms, 0), Target("has", 2s, 10) };
   CHECK(RankRoutes(Query(), targets, {})[0].target == TargetId("empty"));
 }
 
-TEST(Router, APriceOfRecomputingMakesItWaitLonger)
+TEST(Router, ARecomputePriceAcceptsALongerWait)
 {
   const std::vector targets{ Target("empty", 0ms, 0), Target("has", 2s, 10) };
   RouteQuery query = Query();
@@ -62,7 +62,7 @@
   CHECK(RankRoutes(query, targets, {})[0].target == TargetId("has"));
 }
 
-TEST(Router, ImportsWhenTheLinkIsQuickerThanComputing)
+TEST(Router, ImportsWhenTheLinkIsFasterThanComputing)
 {
   const std::vector targets{ Target("t", 0ms, 2) };
   const std::vector copies{ Copy(8, 100ms) };
@@ -82,7 +82,7 @@
   CHECK(!plan.import);
 }
 
-TEST(Router, OverASlowLinkImportsOnlyWhatTheWaitHides)
+TEST(Router, OverASlowLinkImportsOnlyDuringTheWait)
 {
   const std::vector targets{ Target("t", 1s, 0) };
   StoredCopy slow = Copy(10, 0ms);
@@ -93,7 +93,7 @@
   CHECK(plan.expected_first_token == 1550ms);
 }
 
-TEST(Router, ComputesTheFrontWhileTheBackArrives)
+TEST(Router, ComputesFirstBlocksWhileLaterOnesAreImported)
 {
   std::vector targets{ Target("t", 0ms, 0) };
   const std::vector copies{ Copy(10, 300ms) };
@@ -108,7 +108,7 @@
   CHECK(mixed.expected_first_token < whole.expected_first_token);
 }
 
-TEST(Router, ABusyLinkIsLeftToThoseWhoNeedItMore)
+TEST(Router, ABusyLinkMakesAnImportMoreExpensive)
 {
   const std::vector targets{ Target("t", 0ms, 0), Target("has", 300ms, 10) };
   std::vector copies{ Copy(10, 0ms) };
@@ -123,7 +123,7 @@
   CHECK(RankRoutes(Query(), targets, {})[0].target == TargetId("z"));
 }
 
-TEST(Router, ATargetThatDoesNotAdmitIsNoPlan)
+TEST(Router, ATargetThatDoesNotAdmitGetsNoPlan)
 {
   auto full = Target("t", 0ms, 10);
   full.admits = false;
