--- a/include/jujubehead/core/permit_book.hpp
+++ b/include/jujubehead/core/permit_book.hpp
@@ -21,10 +21,10 @@
 /// a report of the target.
 ///
 /// @code
-/// auto book = PermitBook::ForEpoch(7, 8);
-/// book.SetShare({ account, 1, 8, 64 });
-/// book.Request(request, now);
-/// for (const auto& decision : book.Decide(now)) { ... }
+/// auto scheduler = PermitBook::ForEpoch(7, 8);
+/// scheduler.SetShare({ account, 1, 8, 64 });
+/// scheduler.Request(request, now);
+/// for (const auto& decision : scheduler.Decide(now)) { ... }
 /// @endcode
 class PermitBook
 {
--- a/src/jujubehead/core/router.cpp
+++ b/src/jujubehead/core/router.cpp
@@ -11,15 +11,16 @@
 
 /// Added for a target in another data centre: one round trip.
 constexpr double kCrossDataCentreSeconds = 0.002;
-/// Assumed for a target whose prefill rate is unknown; ranks it last.
+/// Assumed for a target whose prefill rate is unknown; so low that it ranks
+/// last.
 constexpr double kDefaultTokensPerSecond = 1.0;
 /// Lower bound of the transfer time of a block.
 constexpr double kMinBlockSeconds = 1e-9;
 /// Upper bound of the link use in the delay formula, which diverges at 1.
 constexpr double kMaxLinkUse = 0.95;
-/// Weight of the delay that an import causes to later ones. At 1 callers left
-/// a holder that was busy for a moment; at 10 they computed what a link had
-/// available for.
+/// Weight of the delay that an import causes to later ones. At 1, requests left
+/// a holder of the context that was busy only briefly; at 10, they recomputed
+/// blocks that the link had the capacity to import.
 constexpr double kImportDelayWeight = 3;
 
 double
@@ -123,8 +124,8 @@
     const double importing =
       ToSeconds(aCopy.link_wait) + (aEnd - m_cached) * BlockSeconds(aCopy);
     const double head_start = std::max(0.0, importing - m_start);
-    const double block_seconds = BlockSeconds(aCopy) + ComputeSeconds(1);
-    return Clamp(m_cached + head_start / block_seconds, aEnd);
+    const double seconds_per_block = BlockSeconds(aCopy) + ComputeSeconds(1);
+    return Clamp(m_cached + head_start / seconds_per_block, aEnd);
   }
 
   [[nodiscard]] std::uint32_t Clamp(double aBlock, std::uint32_t aMax) const
