--- a/include/jujubehead/core/directory.hpp
+++ b/include/jujubehead/core/directory.hpp
@@ -15,10 +15,10 @@
 
 namespace jujubehead::core {
 
-/// @brief Who has blocks: a target in its prefix cache, or a store in a copy.
+/// @brief A holder of blocks: a target (prefix cache) or a store (copies).
 using Holder = std::variant<TargetId, StoreId>;
 
-/// @brief A copy in a store, by the name under which it is read.
+/// @brief Identifies a copy in a store; reads address it by this.
 struct CopyName
 {
   std::string handle;
@@ -29,29 +29,29 @@
 
 enum class CacheEventKind
 {
-  kStored,  ///< The keys' blocks are there.
-  kRemoved, ///< The keys' blocks are gone; of a store: the copy is gone.
-  kCleared, ///< Everything that the holder had is gone.
+  kStored,  ///< The keys' blocks are cached.
+  kRemoved, ///< The keys' blocks, or a store's copy, were removed.
+  kCleared, ///< The holder removed all its blocks.
 };
 
-/// @brief What a target or a store says of its cache.
+/// @brief A cache change reported by a target or a store.
 struct CacheEvent
 {
-  std::uint64_t sequence = 0; ///< The holder's own count, from 1.
+  std::uint64_t sequence = 0; ///< Per holder, from 1.
   CacheEventKind kind = CacheEventKind::kStored;
-  std::vector<ContextKey> keys; ///< Of a store's copy: all, in order.
+  std::vector<ContextKey> keys; ///< For a store's copy: all, in order.
   std::optional<CopyName> copy; ///< Stores only.
 };
 
-/// @brief What became of an event.
+/// @brief Result of applying an event.
 enum class EventOutcome
 {
   kApplied,
   kAppliedAfterGap, ///< Events before it were lost.
-  kDuplicate,       ///< Known already; nothing changed.
+  kDuplicate,       ///< Already applied; no change.
 };
 
-/// @brief A holder and how much of a prompt it is believed to have.
+/// @brief A holder and the length of the prompt prefix it probably has.
 struct PrefixHint
 {
   Holder holder;
@@ -59,58 +59,60 @@
   std::optional<CopyName> copy; ///< Stores only.
 };
 
-/// @brief Where kept context is believed to lie.
+/// @brief Maps block keys to the targets and stores that probably hold them.
 ///
-/// Hints only: they come from late events with gaps, so they may name blocks
-/// that are gone or miss some that are there. Using a wrong hint costs time;
-/// what is true is checked where blocks are read. A cached block implies the
-/// blocks before it at the time it was stored, which fills most gaps.
+/// Entries are hints: events arrive late and with gaps, so an entry may name
+/// removed blocks or miss cached ones. A wrong hint costs time only, as reads
+/// verify the blocks. A cached block implies that the blocks before it were
+/// cached when it was stored, which fills most gaps.
 class Directory
 {
 public:
-  /// @param aMaxKeys keys to remember; the ones unused for longest go first.
+  /// @param aMaxKeys limit on keys; the least recently used are evicted.
   explicit Directory(std::size_t aMaxKeys);
   ~Directory();
   Directory(Directory&&) noexcept;
   Directory& operator=(Directory&&) noexcept;
 
-  /// @brief Takes one event in; the holder's sequence tells gaps and repeats.
+  /// @brief Applies one event; its sequence number shows gaps and duplicates.
   EventOutcome Apply(const Holder& aHolder, const CacheEvent& aEvent);
 
-  /// @brief Takes in the count of the holder's last event. A count below what
-  /// was seen means that the holder started anew, so that its blocks are gone.
-  void NoteLast(const Holder& aHolder, std::uint64_t aLast);
+  /// @brief Compares with the sequence number of the holder's last event. A
+  /// number below the last one applied means that the holder has restarted and
+  /// lost its blocks.
+  void OnLastSequence(const Holder& aHolder, std::uint64_t aLast);
 
-  /// @brief Notes what a finished run showed: the target has just computed or
-  /// read the blocks of all these keys. Mends what lost events left out.
+  /// @brief Records that the target has just computed or read the blocks of
+  /// all these keys in a run. Makes up for lost events.
   void Learn(const TargetId& aTarget, std::span<const ContextKey> aKeys);
 
-  /// @brief Notes that a target was heard to have lost the blocks of these
-  /// keys, outside its own sequence of events.
+  /// @brief Records that a target no longer has the blocks of these keys,
+  /// from a source other than its event sequence.
   void Unlearn(const TargetId& aTarget, std::span<const ContextKey> aKeys);
-  /// @brief Notes a committed copy, outside the store's sequence of events.
+  /// @brief Records a committed copy, from a source other than the store's
+  /// event sequence.
   void LearnCopy(const StoreId& aStore,
                  const CopyName& aCopy,
                  std::span<const ContextKey> aKeys);
 
-  /// @brief Takes back the hint of a copy that could not be read.
+  /// @brief Removes the entries of a copy that could not be read.
   void ForgetCopy(const StoreId& aStore, const CopyName& aCopy);
 
-  /// @brief Drops all hints of a holder that has gone.
+  /// @brief Removes all entries of a holder that no longer exists.
   void Forget(const Holder& aHolder);
 
-  /// @return each holder of at least the first block, longest prefix first,
-  /// one entry a target and one a copy.
+  /// @return holders of at least the first block, longest prefix first: one
+  /// hint per target and one per copy.
   std::vector<PrefixHint> Lookup(std::span<const ContextKey> aKeys);
 
-  /// @return keys remembered, at most the limit.
+  /// @return number of keys, at most the limit.
   [[nodiscard]] std::size_t Size() const;
-  /// @return events known to be lost, over all holders.
+  /// @return number of events lost, over all holders.
   [[nodiscard]] std::uint64_t LostEvents() const;
 
 private:
-  class Slice;
-  std::unique_ptr<Slice> m_slice;
+  class Impl;
+  std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/directory.cpp
+++ b/src/jujubehead/core/directory.cpp
@@ -10,20 +10,21 @@
 
 using HolderNumber = std::uint32_t;
 
-/// One copy in a store; its marks point here, so that one flag ends them all.
+/// One copy in a store. Its block records share it, so that one flag
+/// invalidates them all.
 struct Copy
 {
   CopyName name;
-  bool live = true;
+  bool is_valid = true;
 };
 
-/// What is known of one block at one holder.
-struct Mark
+/// Last known state of one block at one holder.
+struct BlockRecord
 {
   HolderNumber holder = 0;
-  std::uint32_t life = 0;     ///< Of the holder, when the mark was made.
-  std::uint64_t sequence = 0; ///< Of the event that made it.
-  bool stored = false;        ///< Otherwise known to be removed.
+  std::uint32_t epoch = 0;    ///< The holder's epoch when this was recorded.
+  std::uint64_t sequence = 0; ///< Of the event that was recorded.
+  bool stored = false;        ///< False: removed.
   std::shared_ptr<Copy> copy; ///< Stores only.
 };
 
@@ -31,12 +32,12 @@
 {
   Holder holder;
   std::uint64_t last_sequence = 0;
-  std::uint32_t life = 0; ///< Goes up when all its blocks are gone.
+  std::uint32_t epoch = 0; ///< Incremented when all its blocks are removed.
   std::map<std::pair<std::string, std::uint64_t>, std::shared_ptr<Copy>> copies;
 };
 
-/// Of one holder or copy, while the keys of a prompt are walked.
-struct Trail
+/// Prefix of a prompt found at one holder or copy during a lookup.
+struct PrefixMatch
 {
   HolderNumber holder = 0;
   std::shared_ptr<Copy> copy;
@@ -44,38 +45,40 @@
   std::uint32_t blocks = 0;
 };
 
-Trail&
-TrailOf(std::vector<Trail>& aTrails, const Mark& aMark)
+PrefixMatch&
+MatchFor(std::vector<PrefixMatch>& aMatches, const BlockRecord& aRecord)
 {
-  const auto found =
-    std::find_if(aTrails.begin(), aTrails.end(), [&](const Trail& aTrail) {
-      return aTrail.holder == aMark.holder && aTrail.copy == aMark.copy;
+  const auto found = std::find_if(
+    aMatches.begin(), aMatches.end(), [&](const PrefixMatch& aMatch) {
+      return aMatch.holder == aRecord.holder && aMatch.copy == aRecord.copy;
     });
-  if (found != aTrails.end()) {
+  if (found != aMatches.end()) {
     return *found;
   }
-  aTrails.push_back({ aMark.holder, aMark.copy, 0, 0 });
-  return aTrails.back();
+  aMatches.push_back({ aRecord.holder, aRecord.copy, 0, 0 });
+  return aMatches.back();
 }
 
-/// A block stored after every known removal before it must have all of them
-/// again; one stored earlier can no longer be reached.
+/// A block stored after the latest removal among its predecessors implies that
+/// those are cached again; one stored earlier is no longer reachable.
 void
-Advance(Trail& aTrail, const Mark& aMark, std::uint32_t aBlocks)
+ExtendMatch(PrefixMatch& aMatch,
+            const BlockRecord& aRecord,
+            std::uint32_t aBlocks)
 {
-  if (!aMark.stored) {
-    aTrail.removed_at = std::max(aTrail.removed_at, aMark.sequence);
-  } else if (aMark.copy || aMark.sequence >= aTrail.removed_at) {
-    aTrail.blocks = aBlocks;
+  if (!aRecord.stored) {
+    aMatch.removed_at = std::max(aMatch.removed_at, aRecord.sequence);
+  } else if (aRecord.copy || aRecord.sequence >= aMatch.removed_at) {
+    aMatch.blocks = aBlocks;
   }
 }
 
 } // namespace
 
-class Directory::Slice
+class Directory::Impl
 {
 public:
-  explicit Slice(std::size_t aMaxKeys)
+  explicit Impl(std::size_t aMaxKeys)
     : m_max_keys(std::max<std::size_t>(aMaxKeys, 1))
   {
   }
@@ -90,15 +93,15 @@
     const std::uint64_t lost = aEvent.sequence - state.last_sequence - 1;
     m_lost_events += lost;
     state.last_sequence = aEvent.sequence;
-    Take(number, aEvent);
+    Record(number, aEvent);
     return lost == 0 ? EventOutcome::kApplied : EventOutcome::kAppliedAfterGap;
   }
 
-  void NoteLast(const Holder& aHolder, std::uint64_t aLast)
+  void OnLastSequence(const Holder& aHolder, std::uint64_t aLast)
   {
     HolderState& state = m_holders[NumberOf(aHolder)];
     if (aLast < state.last_sequence) {
-      EndLife(state);
+      InvalidateAll(state);
       state.last_sequence = aLast;
     }
   }
@@ -107,14 +110,16 @@
   {
     const HolderNumber number = NumberOf(aTarget);
     const HolderState& state = m_holders[number];
-    const Mark mark{ number, state.life, state.last_sequence, true, nullptr };
+    const BlockRecord record{
+      number, state.epoch, state.last_sequence, true, nullptr
+    };
     for (const ContextKey& key : aKeys) {
-      SetMark(key, mark);
+      SetRecord(key, record);
     }
   }
 
-  /// Takes what was heard of a holder other than by its own sequence.
-  void Hear(const Holder& aHolder, CacheEvent aEvent)
+  /// Applies an event from outside the holder's sequence, as the next in it.
+  void ApplyOutOfSequence(const Holder& aHolder, CacheEvent aEvent)
   {
     aEvent.sequence = m_holders[NumberOf(aHolder)].last_sequence + 1;
     Apply(aHolder, aEvent);
@@ -122,27 +127,27 @@
 
   void ForgetCopy(const StoreId& aStore, const CopyName& aCopy)
   {
-    EndCopy(m_holders[NumberOf(aStore)], aCopy);
+    InvalidateCopy(m_holders[NumberOf(aStore)], aCopy);
   }
 
   void Forget(const Holder& aHolder)
   {
     HolderState& state = m_holders[NumberOf(aHolder)];
-    EndLife(state);
+    InvalidateAll(state);
     state.last_sequence = 0;
   }
 
   std::vector<PrefixHint> Lookup(std::span<const ContextKey> aKeys)
   {
-    std::vector<Trail> trails;
+    std::vector<PrefixMatch> matches;
     for (std::uint32_t i = 0; i < aKeys.size(); ++i) {
       const auto found = m_entries.find(aKeys[i]);
       if (found != m_entries.end()) {
         Touch(found->second);
-        Follow(found->second, i + 1, trails);
+        ExtendMatches(found->second, i + 1, matches);
       }
     }
-    return HintsOf(trails);
+    return MakeHints(matches);
   }
 
   [[nodiscard]] std::size_t Size() const { return m_entries.size(); }
@@ -153,30 +158,30 @@
 
   struct Entry
   {
-    std::vector<Mark> marks;
-    Recency::iterator place;
+    std::vector<BlockRecord> records;
+    Recency::iterator position;
   };
 
   HolderNumber NumberOf(const Holder& aHolder)
   {
     const auto next = static_cast<HolderNumber>(m_holders.size());
-    const auto [place, isNew] = m_numbers.try_emplace(aHolder, next);
+    const auto [position, isNew] = m_numbers.try_emplace(aHolder, next);
     if (isNew) {
       m_holders.push_back({ aHolder, 0, 0, {} });
     }
-    return place->second;
+    return position->second;
   }
 
-  void Take(HolderNumber aNumber, const CacheEvent& aEvent)
+  void Record(HolderNumber aNumber, const CacheEvent& aEvent)
   {
     HolderState& state = m_holders[aNumber];
     switch (aEvent.kind) {
       case CacheEventKind::kCleared:
-        EndLife(state);
+        InvalidateAll(state);
         return;
       case CacheEventKind::kRemoved:
         if (aEvent.copy) {
-          EndCopy(state, *aEvent.copy);
+          InvalidateCopy(state, *aEvent.copy);
           return;
         }
         break;
@@ -184,13 +189,14 @@
         break;
     }
     const bool stored = aEvent.kind == CacheEventKind::kStored;
-    const Mark mark{ aNumber,
-                     state.life,
-                     aEvent.sequence,
-                     stored,
-                     aEvent.copy ? CopyOf(state, *aEvent.copy) : nullptr };
+    const BlockRecord record{ aNumber,
+                              state.epoch,
+                              aEvent.sequence,
+                              stored,
+                              aEvent.copy ? CopyOf(state, *aEvent.copy)
+                                          : nullptr };
     for (const ContextKey& key : aEvent.keys) {
-      SetMark(key, mark);
+      SetRecord(key, record);
     }
   }
 
@@ -204,83 +210,83 @@
     return copy;
   }
 
-  static void EndCopy(HolderState& aState, const CopyName& aName)
+  static void InvalidateCopy(HolderState& aState, const CopyName& aName)
   {
     const auto found = aState.copies.find({ aName.handle, aName.generation });
     if (found != aState.copies.end()) {
-      found->second->live = false;
+      found->second->is_valid = false;
       aState.copies.erase(found);
     }
   }
 
-  static void EndLife(HolderState& aState)
+  static void InvalidateAll(HolderState& aState)
   {
-    ++aState.life;
+    ++aState.epoch;
     for (auto& [name, copy] : aState.copies) {
-      copy->live = false;
+      copy->is_valid = false;
     }
     aState.copies.clear();
   }
 
-  [[nodiscard]] bool IsValid(const Mark& aMark) const
+  [[nodiscard]] bool IsValid(const BlockRecord& aRecord) const
   {
-    return aMark.life == m_holders[aMark.holder].life &&
-           (!aMark.copy || aMark.copy->live);
+    return aRecord.epoch == m_holders[aRecord.holder].epoch &&
+           (!aRecord.copy || aRecord.copy->is_valid);
   }
 
-  void SetMark(const ContextKey& aKey, const Mark& aMark)
+  void SetRecord(const ContextKey& aKey, const BlockRecord& aRecord)
   {
     Entry& entry = EntryOf(aKey);
-    std::erase_if(entry.marks, [&](const Mark& aOld) {
+    std::erase_if(entry.records, [&](const BlockRecord& aOld) {
       return !IsValid(aOld) ||
-             (aOld.holder == aMark.holder && aOld.copy == aMark.copy);
+             (aOld.holder == aRecord.holder && aOld.copy == aRecord.copy);
     });
-    entry.marks.push_back(aMark);
+    entry.records.push_back(aRecord);
   }
 
   Entry& EntryOf(const ContextKey& aKey)
   {
-    const auto [place, isNew] = m_entries.try_emplace(aKey);
+    const auto [position, isNew] = m_entries.try_emplace(aKey);
     if (!isNew) {
-      Touch(place->second);
-      return place->second;
+      Touch(position->second);
+      return position->second;
     }
     m_recency.push_front(aKey);
-    place->second.place = m_recency.begin();
+    position->second.position = m_recency.begin();
     if (m_entries.size() > m_max_keys) {
       m_entries.erase(m_recency.back());
       m_recency.pop_back();
     }
-    return place->second;
+    return position->second;
   }
 
   void Touch(Entry& aEntry)
   {
-    m_recency.splice(m_recency.begin(), m_recency, aEntry.place);
+    m_recency.splice(m_recency.begin(), m_recency, aEntry.position);
   }
 
-  void Follow(const Entry& aEntry,
-              std::uint32_t aBlocks,
-              std::vector<Trail>& aTrails) const
+  void ExtendMatches(const Entry& aEntry,
+                     std::uint32_t aBlocks,
+                     std::vector<PrefixMatch>& aMatches) const
   {
-    for (const Mark& mark : aEntry.marks) {
-      if (IsValid(mark)) {
-        Advance(TrailOf(aTrails, mark), mark, aBlocks);
+    for (const BlockRecord& record : aEntry.records) {
+      if (IsValid(record)) {
+        ExtendMatch(MatchFor(aMatches, record), record, aBlocks);
       }
     }
   }
 
-  [[nodiscard]] std::vector<PrefixHint> HintsOf(
-    std::span<const Trail> aTrails) const
+  [[nodiscard]] std::vector<PrefixHint> MakeHints(
+    std::span<const PrefixMatch> aMatches) const
   {
     std::vector<PrefixHint> hints;
-    for (const Trail& trail : aTrails) {
-      if (trail.blocks > 0) {
+    for (const PrefixMatch& match : aMatches) {
+      if (match.blocks > 0) {
         std::optional<CopyName> name;
-        if (trail.copy) {
-          name = trail.copy->name;
+        if (match.copy) {
+          name = match.copy->name;
         }
-        hints.push_back({ m_holders[trail.holder].holder, trail.blocks, name });
+        hints.push_back({ m_holders[match.holder].holder, match.blocks, name });
       }
     }
     std::stable_sort(hints.begin(),
@@ -300,7 +306,7 @@
 };
 
 Directory::Directory(std::size_t aMaxKeys)
-  : m_slice(std::make_unique<Slice>(aMaxKeys))
+  : m_impl(std::make_unique<Impl>(aMaxKeys))
 {
 }
 
@@ -312,25 +318,25 @@
 EventOutcome
 Directory::Apply(const Holder& aHolder, const CacheEvent& aEvent)
 {
-  return m_slice->Apply(aHolder, aEvent);
+  return m_impl->Apply(aHolder, aEvent);
 }
 
 void
-Directory::NoteLast(const Holder& aHolder, std::uint64_t aLast)
+Directory::OnLastSequence(const Holder& aHolder, std::uint64_t aLast)
 {
-  m_slice->NoteLast(aHolder, aLast);
+  m_impl->OnLastSequence(aHolder, aLast);
 }
 
 void
 Directory::Learn(const TargetId& aTarget, std::span<const ContextKey> aKeys)
 {
-  m_slice->Learn(aTarget, aKeys);
+  m_impl->Learn(aTarget, aKeys);
 }
 
 void
 Directory::Unlearn(const TargetId& aTarget, std::span<const ContextKey> aKeys)
 {
-  m_slice->Hear(
+  m_impl->ApplyOutOfSequence(
     aTarget,
     { 0, CacheEventKind::kRemoved, { aKeys.begin(), aKeys.end() }, {} });
 }
@@ -340,7 +346,7 @@
                      const CopyName& aCopy,
                      std::span<const ContextKey> aKeys)
 {
-  m_slice->Hear(
+  m_impl->ApplyOutOfSequence(
     aStore,
     { 0, CacheEventKind::kStored, { aKeys.begin(), aKeys.end() }, aCopy });
 }
@@ -348,31 +354,31 @@
 void
 Directory::ForgetCopy(const StoreId& aStore, const CopyName& aCopy)
 {
-  m_slice->ForgetCopy(aStore, aCopy);
+  m_impl->ForgetCopy(aStore, aCopy);
 }
 
 void
 Directory::Forget(const Holder& aHolder)
 {
-  m_slice->Forget(aHolder);
+  m_impl->Forget(aHolder);
 }
 
 std::vector<PrefixHint>
 Directory::Lookup(std::span<const ContextKey> aKeys)
 {
-  return m_slice->Lookup(aKeys);
+  return m_impl->Lookup(aKeys);
 }
 
 std::size_t
 Directory::Size() const
 {
-  return m_slice->Size();
+  return m_impl->Size();
 }
 
 std::uint64_t
 Directory::LostEvents() const
 {
-  return m_slice->LostEvents();
+  return m_impl->LostEvents();
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/directory_test.cpp
+++ b/src/jujubehead/core/directory_test.cpp
@@ -74,7 +74,7 @@
   CHECK_EQUAL(1, Blocks());
 }
 
-TEST(Directory, ABlockWhoseStoredEventWasLostIsImpliedByOnesAfterIt)
+TEST(Directory, ALostStoredEventIsImpliedByLaterBlocks)
 {
   directory.Apply(target, Stored(1, keys[0]));
   CHECK(directory.Apply(target, Stored(4, keys[3])) ==
@@ -83,7 +83,7 @@
   CHECK_EQUAL(2, directory.LostEvents());
 }
 
-TEST(Directory, ALostRemovalIsImpliedByOneBeforeIt)
+TEST(Directory, ALostRemovalIsImpliedByTheRemovalOfAnEarlierBlock)
 {
   StoreAll();
   directory.Apply(target, Removed(8, keys[2]));
@@ -92,7 +92,7 @@
   CHECK_EQUAL(4, Blocks());
 }
 
-TEST(Directory, ARepeatedEventChangesNothing)
+TEST(Directory, ADuplicateEventChangesNothing)
 {
   StoreAll();
   CHECK(directory.Apply(target, Removed(5, keys[0])) ==
@@ -100,20 +100,20 @@
   CHECK_EQUAL(5, Blocks());
 }
 
-TEST(Directory, AHolderThatClearsOrStartsAnewHasNothing)
+TEST(Directory, AHolderThatClearsOrRestartsHasNoBlocks)
 {
   StoreAll();
   directory.Apply(target, { 6, CacheEventKind::kCleared, {}, std::nullopt });
   CHECK_EQUAL(0, Blocks());
   directory.Apply(target, Stored(7, keys[0]));
   CHECK_EQUAL(1, Blocks());
-  directory.NoteLast(target, 0);
+  directory.OnLastSequence(target, 0);
   CHECK_EQUAL(0, Blocks());
   CHECK(directory.Apply(target, Stored(1, keys[0])) == EventOutcome::kApplied);
   CHECK_EQUAL(1, Blocks());
 }
 
-TEST(Directory, ARunShowsWhatItsTargetHas)
+TEST(Directory, ARunRestoresTheBlocksOfItsTarget)
 {
   StoreAll();
   directory.Apply(target, Removed(6, keys[0]));
@@ -122,7 +122,7 @@
   CHECK_EQUAL(5, Blocks());
 }
 
-TEST(Directory, WhatMustBeEvictedByNowIsHintedNoMore)
+TEST(Directory, RemovedBlocksGiveNoHint)
 {
   directory.Learn(target, keys);
   directory.Learn(TargetId("other"), keys);
@@ -132,7 +132,7 @@
   CHECK(hints.front().holder == Holder(TargetId("other")));
 }
 
-TEST(Directory, CopiesAreToldApartByGeneration)
+TEST(Directory, CopiesDifferByGeneration)
 {
   directory.Apply(store, Copied(1, Keys(3), { "h", 1 }));
   directory.Apply(store, Copied(2, Keys(5), { "h", 2 }));
@@ -149,7 +149,7 @@
   CHECK(directory.Lookup(keys).empty());
 }
 
-TEST(Directory, AForgottenHolderIsNeverNamed)
+TEST(Directory, ARemovedHolderGivesNoHint)
 {
   StoreAll();
   directory.Apply(store, Copied(1, keys, { "h", 1 }));
@@ -159,7 +159,7 @@
   CHECK(directory.Lookup(keys).empty());
 }
 
-TEST(Directory, RemembersAtMostItsLimitAndDropsTheLongestUnused)
+TEST(Directory, EvictsTheLeastRecentlyUsedKeysAtItsLimit)
 {
   Directory small{ 5 };
   for (const ContextKey& key : keys) {
@@ -173,7 +173,7 @@
   CHECK(small.Lookup(std::span(keys).subspan(1, 1)).empty());
 }
 
-TEST(Directory, WithNoEventLostItAgreesWithAPrefixCache)
+TEST(Directory, MatchesAPrefixCacheWhenNoEventIsLost)
 {
   CHECK(rc::check([this](const std::vector<std::uint8_t>& aSteps) {
     Directory whole{ kManyKeys };
@@ -193,28 +193,28 @@
   }));
 }
 
-TEST(Directory, AHeardLossAndALaterRunAreTakenInTheirOrder)
+TEST(Directory, ARemovalOutOfSequenceAndALaterRunApplyInOrder)
 {
-  Directory slice(100);
+  Directory bounded(100);
   const TargetId holder("t1");
   const auto chain = ChainKeys({}, std::string(4 * kDefaultBlockBytes, 'x'));
-  slice.Learn(holder, chain);
-  LONGS_EQUAL(4, slice.Lookup(chain).at(0).blocks);
-  slice.Unlearn(holder, std::span(chain).subspan(1, 1));
-  LONGS_EQUAL(1, slice.Lookup(chain).at(0).blocks);
-  slice.Learn(holder, chain);
-  LONGS_EQUAL(4, slice.Lookup(chain).at(0).blocks);
+  bounded.Learn(holder, chain);
+  LONGS_EQUAL(4, bounded.Lookup(chain).at(0).blocks);
+  bounded.Unlearn(holder, std::span(chain).subspan(1, 1));
+  LONGS_EQUAL(1, bounded.Lookup(chain).at(0).blocks);
+  bounded.Learn(holder, chain);
+  LONGS_EQUAL(4, bounded.Lookup(chain).at(0).blocks);
 }
 
-TEST(Directory, AHeardCopyIsHintedUntilItIsForgotten)
+TEST(Directory, ACopyOutOfSequenceIsHintedUntilRemoved)
 {
-  Directory slice(100);
+  Directory bounded(100);
   const StoreId holder("s1");
   const auto chain = ChainKeys({}, std::string(2 * kDefaultBlockBytes, 'x'));
-  slice.LearnCopy(holder, { "h", 3 }, chain);
-  const auto hints = slice.Lookup(chain);
+  bounded.LearnCopy(holder, { "h", 3 }, chain);
+  const auto hints = bounded.Lookup(chain);
   LONGS_EQUAL(2, hints.at(0).blocks);
   CHECK(hints.at(0).copy->generation == 3);
-  slice.ForgetCopy(holder, { "h", 3 });
-  CHECK(slice.Lookup(chain).empty());
+  bounded.ForgetCopy(holder, { "h", 3 });
+  CHECK(bounded.Lookup(chain).empty());
 }
