--- a/include/jujubehead/core/keep_policy.hpp
+++ b/include/jujubehead/core/keep_policy.hpp
@@ -13,65 +13,66 @@
 
 namespace jujubehead::core {
 
-/// @brief A context that may be kept, as its price sees it.
+/// @brief Inputs of the retention price of a context.
 struct KeptValue
 {
   AccountId account;
   Duration idle{};              ///< Since its last use.
-  std::uint64_t bytes = 0;      ///< Room that it takes.
-  double recompute_seconds = 0; ///< Of a target, to compute it again.
-  double saved = 0;             ///< ReturnValue() of not computing it.
+  std::uint64_t bytes = 0;      ///< Size.
+  double recompute_seconds = 0; ///< Target time to compute it again.
+  double saved = 0;             ///< ReturnValue() of avoiding that.
 };
 
-/// @brief What it is worth not to compute a context again.
+/// @brief Value of not computing a context again.
 ///
-/// Without a price of recomputed tokens the deployment counts waiting, and a
-/// wait hurts more the longer it is: its square. With a price it counts tokens,
-/// so that the value is in proportion to them.
-/// @param aSeconds of a target, to compute the context.
-/// @param aTokens of the context.
-/// @param aRecomputePrice seconds that a token not recomputed is worth.
+/// Without a price of recomputed tokens the value is the square of the waiting
+/// time, as a long wait does more harm than several short ones of the same
+/// total. With a price it is proportional to the tokens.
+/// @param aSeconds target time to compute the context.
+/// @param aTokens length of the context.
+/// @param aRecomputePrice value of a token not recomputed, in seconds.
 double
 ReturnValue(double aSeconds, double aTokens, double aRecomputePrice);
 
-/// @brief What an export has to reckon with.
+/// @brief Inputs of the expected gain of an export.
 struct ExportView
 {
   KeptValue value;
-  std::uint64_t bytes_to_move = 0; ///< Less than all when part is kept.
-  double bytes_per_second = 0;     ///< Of the link.
-  double link_use = 0;             ///< Share of time that the link is busy.
-  Duration kept_for{};             ///< Expected time in the store.
-  /// Seconds that the deployment's price of recomputed tokens adds to what the
-  /// context takes to compute.
-  double priced_seconds = 0;
+  std::uint64_t bytes_to_move =
+    0;                         ///< Below the size when part is stored already.
+  double bytes_per_second = 0; ///< Link rate.
+  double link_use = 0;         ///< Share of time that the link is busy.
+  Duration kept_for{};         ///< Expected time in the store.
+  /// Seconds added to the computing time by the deployment's price of
+  /// recomputed tokens.
+  double token_price_seconds = 0;
 };
 
-/// @return what is saved for each byte and second of room in a tier. Exports,
-/// evictions and tiers all go by this one price.
+/// @return expected value saved per byte and second of space in a tier.
+/// Exports, evictions and tier placement all compare by this price.
 double
 KeepPrice(const ReturnModel& aModel, const KeptValue& aValue);
 
-/// @return seconds that an export is expected to save: the chance of return
-/// times what the import saves over computing, less the delay that moving the
-/// bytes causes to others on the link. Worth doing when above 0.
+/// @return seconds that an export is expected to save: the reuse probability
+/// times what the import saves over computing, less the delay that the transfer
+/// causes to others on the link. Worth doing when above 0.
 double
 ExportGain(const ReturnModel& aModel, const ExportView& aView);
 
-/// @brief One kept copy, as a candidate to be freed.
+/// @brief A copy in a store, as a candidate for eviction.
 struct VictimView
 {
   double price = 0;        ///< KeepPrice() now.
-  std::uint64_t bytes = 0; ///< Room that freeing it gives.
+  std::uint64_t bytes = 0; ///< Space that its eviction frees.
 };
 
-/// @brief Chooses what to free for a newcomer, cheapest first.
-/// @return indices into aCopies that give the bytes together; nothing when
-/// that takes a copy whose price is not below the newcomer's.
+/// @brief Chooses copies to evict for a new one, lowest price first.
+/// @return indices into aCopies that together free the bytes; nothing when that
+/// would take a copy whose price is not below the new one's.
 std::optional<std::vector<std::size_t>>
 ChooseVictims(std::span<const VictimView> aCopies,
               std::uint64_t aBytesNeeded,
-              double aNewcomerPrice);
+              double aNewPrice);
 
 } // namespace jujubehead::core
 
--- a/include/jujubehead/core/link_schedule.hpp
+++ b/include/jujubehead/core/link_schedule.hpp
@@ -13,35 +13,36 @@
 
 enum class TransferKind
 {
-  kImport, ///< A caller waits for it.
-  kExport, ///< Nobody waits for it.
+  kImport, ///< Store to target; a caller is waiting.
+  kExport, ///< Target to store, in the background.
 };
 
-/// @brief One movement of kept blocks over a store's link.
+/// @brief One transfer of cached blocks over a store's link.
 struct Transfer
 {
   std::uint64_t id = 0;
   TransferKind kind = TransferKind::kImport;
   AccountId account;
-  double weight = 1; ///< The account's share, from the table; above 0.
+  double weight = 1; ///< Fair-queueing weight of the account; above 0.
   std::uint64_t bytes = 0;
-  Instant give_up; ///< Not started by then, it is worth nothing any more.
+  Instant give_up; ///< Dropped if not started by then.
 };
 
 struct LinkSettings
 {
-  double bytes_per_second = 1e9; ///< Until transfers have shown the true rate.
-  std::size_t imports_at_once = 1;
-  std::size_t exports_at_once = 1;
-  std::size_t max_waiting = 1024; ///< Of each kind.
+  double bytes_per_second = 1e9; ///< Initial estimate.
+  std::size_t max_running_imports = 1;
+  std::size_t max_running_exports = 1;
+  std::size_t max_waiting = 1024; ///< Per kind.
 };
 
-/// @brief Decides which transfers cross one store's link, and when.
+/// @brief Schedules the transfers over one store's link.
 ///
-/// One owner holds it for the link. Imports go before exports; among the same
-/// kind the accounts share by weight (start-time fair queueing by bytes). Few
-/// run at once, so that each ends soon. As every transfer passes here, a quote
-/// counts all that was granted before, however late the store's reports are.
+/// Each link has one owner, which holds its schedule. Imports take precedence
+/// over exports; within a kind, accounts share by weight (start-time fair
+/// queueing by bytes). Few transfers run at once, so that each ends soon. As
+/// every transfer is scheduled here, an expected wait includes all transfers
+/// granted before, however late the store's reports are.
 class LinkSchedule
 {
 public:
@@ -56,36 +57,37 @@
                                       Instant aNow) const;
 
   /// @brief Queues a transfer.
-  /// @return false when too many wait already; nothing is kept of it then.
+  /// @return false when the queue is full; the transfer is not queued.
   bool Submit(const Transfer& aTransfer);
 
   /// @return the transfers that start now, in order.
   std::vector<Transfer> Start(Instant aNow);
 
-  /// @return waiting transfers past their give-up time, which are dropped.
+  /// @brief Drops waiting transfers that are past their start deadline.
+  /// @return the dropped transfers.
   std::vector<Transfer> Expire(Instant aNow);
 
-  /// @brief A running transfer has ended and its bytes have crossed.
+  /// @brief Ends a running transfer that has moved all its bytes.
   void Finish(std::uint64_t aId, Instant aNow);
 
-  /// @brief Drops a transfer, waiting or running; unknown ids are ignored.
+  /// @brief Drops a waiting or running transfer; ignores unknown ids.
   void Cancel(std::uint64_t aId, Instant aNow);
 
-  /// @return the link's rate, learnt from the transfers that ended.
+  /// @return the link's rate, estimated from finished transfers.
   [[nodiscard]] double BytesPerSecond() const;
 
-  /// @return share of time that the link is busy with a kind of transfer, the
-  /// last minutes weighing most.
+  /// @return share of time that the link is busy with a kind of transfer, as
+  /// an exponential average over the last minutes.
   [[nodiscard]] double Use(TransferKind aKind, Instant aNow) const;
 
-  /// @return transfers of a kind that wait.
+  /// @return number of waiting transfers of a kind.
   [[nodiscard]] std::size_t Waiting(TransferKind aKind) const;
-  /// @return transfers of a kind that run.
+  /// @return number of running transfers of a kind.
   [[nodiscard]] std::size_t Running(TransferKind aKind) const;
 
 private:
-  class Queues;
-  std::unique_ptr<Queues> m_queues;
+  class Impl;
+  std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/keep_policy.cpp
+++ b/src/jujubehead/core/keep_policy.cpp
@@ -6,8 +6,8 @@
 namespace jujubehead::core {
 namespace {
 
-/// The queue of a link is taken to be no longer than at this use.
-constexpr double kMostUse = 0.95;
+/// Upper bound of link utilization in the queueing delay.
+constexpr double kMaxUtilization = 0.95;
 
 } // namespace
 
@@ -35,25 +35,25 @@
   if (aView.bytes_per_second <= 0 || aView.value.bytes == 0) {
     return 0;
   }
-  const double chance = aModel.ChanceOfReturn(
+  const double probability = aModel.ChanceOfReturn(
     aView.value.account, aView.value.idle, aView.kept_for);
-  const double use = std::clamp(aView.link_use, 0.0, kMostUse);
-  const double moving =
+  const double utilization = std::clamp(aView.link_use, 0.0, kMaxUtilization);
+  const double transfer_seconds =
     static_cast<double>(aView.bytes_to_move) / aView.bytes_per_second;
-  const double missing = static_cast<double>(aView.bytes_to_move) /
-                         static_cast<double>(aView.value.bytes);
-  const double importing = moving / (1 - use);
-  const double saved =
-    missing * (aView.value.recompute_seconds + aView.priced_seconds) -
-    importing;
-  const double delay = moving * use / (1 - use);
-  return chance * saved - delay;
+  const double missing_share = static_cast<double>(aView.bytes_to_move) /
+                               static_cast<double>(aView.value.bytes);
+  const double import_seconds = transfer_seconds / (1 - utilization);
+  const double saved = missing_share * (aView.value.recompute_seconds +
+                                        aView.token_price_seconds) -
+                       import_seconds;
+  const double delay = transfer_seconds * utilization / (1 - utilization);
+  return probability * saved - delay;
 }
 
 std::optional<std::vector<std::size_t>>
 ChooseVictims(std::span<const VictimView> aCopies,
               std::uint64_t aBytesNeeded,
-              double aNewcomerPrice)
+              double aNewPrice)
 {
   std::vector<std::size_t> order(aCopies.size());
   std::iota(order.begin(), order.end(), std::size_t{ 0 });
@@ -67,7 +67,7 @@
     if (freed >= aBytesNeeded) {
       break;
     }
-    if (aCopies[index].price >= aNewcomerPrice) {
+    if (aCopies[index].price >= aNewPrice) {
       return std::nullopt;
     }
     freed += aCopies[index].bytes;
--- a/src/jujubehead/core/keep_policy_test.cpp
+++ b/src/jujubehead/core/keep_policy_test.cpp
@@ -34,7 +34,7 @@
   ReturnModel model;
 };
 
-TEST(KeepPolicy, AContextWorthMoreHasTheHigherPrice)
+TEST(KeepPolicy, AMoreValuableContextHasTheHigherPrice)
 {
   for (int i = 0; i < 200; ++i) {
     model.Observe(AccountId("returning"), 0s, 20min, true);
@@ -46,7 +46,7 @@
         KeepPrice(model, Value("returning", 10min, 3)));
 }
 
-TEST(KeepPolicy, WithoutAPriceOfTokensLongWaitsCountMore)
+TEST(KeepPolicy, WithoutATokenPriceTheValueIsTheSquareOfTheWait)
 {
   DOUBLES_EQUAL(4.0, ReturnValue(2, 1000, 0), 1e-9);
   DOUBLES_EQUAL(16.0, ReturnValue(4, 2000, 0), 1e-9);
@@ -55,7 +55,7 @@
   DOUBLES_EQUAL(2.0, twice / once, 0.05);
 }
 
-TEST(KeepPolicy, ABusyLinkMakesExportsNotWorthTheirDelay)
+TEST(KeepPolicy, ABusyOrSlowLinkMakesTheExportGainNegative)
 {
   CHECK(ExportGain(model, View(0)) > 0);
   CHECK(ExportGain(model, View(0.9)) < 0);
@@ -64,26 +64,26 @@
   CHECK(ExportGain(model, slow) < 0);
 }
 
-TEST(KeepPolicy, VictimsAreTheCheapestAndNeverDearerThanTheNewcomer)
+TEST(KeepPolicy, VictimsHaveTheLowestPricesAllBelowTheNewCopys)
 {
   CHECK(rc::check([](const std::vector<std::uint8_t>& aPrices,
                      std::uint8_t aNeeded,
-                     std::uint8_t aNewcomer) {
+                     std::uint8_t aNewPrice) {
     std::vector<VictimView> copies;
     copies.reserve(aPrices.size());
     for (const auto price : aPrices) {
       copies.push_back({ static_cast<double>(price), 10 });
     }
-    const auto victims = ChooseVictims(copies, aNeeded, aNewcomer);
+    const auto victims = ChooseVictims(copies, aNeeded, aNewPrice);
     const auto below = static_cast<std::uint64_t>(
       std::count_if(aPrices.begin(), aPrices.end(), [&](auto aPrice) {
-        return aPrice < aNewcomer;
+        return aPrice < aNewPrice;
       }));
     RC_ASSERT(victims.has_value() == (below * 10 >= aNeeded));
     if (victims) {
       RC_ASSERT(victims->size() * 10 < aNeeded + 10U);
       for (const std::size_t index : *victims) {
-        RC_ASSERT(copies[index].price < aNewcomer);
+        RC_ASSERT(copies[index].price < aNewPrice);
       }
     }
   }));
--- a/src/jujubehead/core/link_schedule.cpp
+++ b/src/jujubehead/core/link_schedule.cpp
@@ -11,10 +11,10 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Weight of the newest transfer in the learnt rate.
+/// Weight of the latest transfer in the rate estimate.
 constexpr double kRateGain = 0.2;
-/// Seconds over which the use of the link is averaged.
-constexpr double kUseWindow = 120;
+/// Time constant of the link utilization average, in seconds.
+constexpr double kUtilizationWindow = 120;
 
 double
 ToSeconds(Duration aDuration)
@@ -22,16 +22,16 @@
   return std::chrono::duration_cast<Seconds>(aDuration).count();
 }
 
-struct Waiter
+struct QueuedTransfer
 {
   Transfer transfer;
   double start_tag = 0;
 };
 
-struct Runner
+struct RunningTransfer
 {
   Transfer transfer;
-  double link_seconds = 0; ///< Its share of the link's time so far.
+  double link_seconds = 0; ///< Its share of link time so far.
 };
 
 /// Waiting transfers of one kind, in start-time fair order.
@@ -43,32 +43,32 @@
     const double start = NextTag(aTransfer.account);
     m_finish_tags[aTransfer.account] =
       start + static_cast<double>(aTransfer.bytes) / aTransfer.weight;
-    m_waiters.push_back({ aTransfer, start });
+    m_queued.push_back({ aTransfer, start });
   }
 
   Transfer Pop()
   {
-    const auto first =
-      std::min_element(m_waiters.begin(),
-                       m_waiters.end(),
-                       [](const Waiter& aLeft, const Waiter& aRight) {
-                         return aLeft.start_tag < aRight.start_tag;
-                       });
+    const auto first = std::min_element(
+      m_queued.begin(),
+      m_queued.end(),
+      [](const QueuedTransfer& aLeft, const QueuedTransfer& aRight) {
+        return aLeft.start_tag < aRight.start_tag;
+      });
     Transfer transfer = first->transfer;
     m_virtual_time = std::max(m_virtual_time, first->start_tag);
-    m_waiters.erase(first);
+    m_queued.erase(first);
     DropIdleAccounts();
     return transfer;
   }
 
-  /// Bytes that would go before a new transfer of the account.
+  /// Bytes scheduled before a new transfer of the account.
   [[nodiscard]] double BytesBefore(const AccountId& aAccount) const
   {
     const double tag = NextTag(aAccount);
     double bytes = 0;
-    for (const Waiter& waiter : m_waiters) {
-      if (waiter.start_tag <= tag) {
-        bytes += static_cast<double>(waiter.transfer.bytes);
+    for (const QueuedTransfer& queued : m_queued) {
+      if (queued.start_tag <= tag) {
+        bytes += static_cast<double>(queued.transfer.bytes);
       }
     }
     return bytes;
@@ -78,17 +78,17 @@
   std::vector<Transfer> RemoveIf(Predicate aPredicate)
   {
     std::vector<Transfer> removed;
-    std::erase_if(m_waiters, [&](const Waiter& aWaiter) {
-      const bool remove = aPredicate(aWaiter.transfer);
+    std::erase_if(m_queued, [&](const QueuedTransfer& aQueued) {
+      const bool remove = aPredicate(aQueued.transfer);
       if (remove) {
-        removed.push_back(aWaiter.transfer);
+        removed.push_back(aQueued.transfer);
       }
       return remove;
     });
     return removed;
   }
 
-  [[nodiscard]] std::size_t Size() const { return m_waiters.size(); }
+  [[nodiscard]] std::size_t Size() const { return m_queued.size(); }
 
 private:
   [[nodiscard]] double NextTag(const AccountId& aAccount) const
@@ -106,17 +106,17 @@
     });
   }
 
-  std::vector<Waiter> m_waiters;
+  std::vector<QueuedTransfer> m_queued;
   std::unordered_map<AccountId, double> m_finish_tags;
   double m_virtual_time = 0;
 };
 
 } // namespace
 
-class LinkSchedule::Queues
+class LinkSchedule::Impl
 {
 public:
-  explicit Queues(const LinkSettings& aSettings)
+  explicit Impl(const LinkSettings& aSettings)
     : m_settings(aSettings)
     , m_rate(aSettings.bytes_per_second)
   {
@@ -159,38 +159,38 @@
 
   std::vector<Transfer> Expire(Instant aNow)
   {
-    const auto isLate = [aNow](const Transfer& aTransfer) {
+    const auto isExpired = [aNow](const Transfer& aTransfer) {
       return aTransfer.give_up <= aNow;
     };
-    std::vector<Transfer> late;
+    std::vector<Transfer> expired;
     for (FairQueue& queue : m_waiting) {
-      const auto removed = queue.RemoveIf(isLate);
-      late.insert(late.end(), removed.begin(), removed.end());
+      const auto removed = queue.RemoveIf(isExpired);
+      expired.insert(expired.end(), removed.begin(), removed.end());
     }
-    return late;
+    return expired;
   }
 
   void Finish(std::uint64_t aId, Instant aNow)
   {
     Charge(aNow);
-    const auto runner = Find(aId);
-    if (runner == m_running.end()) {
+    const auto running = Find(aId);
+    if (running == m_running.end()) {
       return;
     }
-    if (runner->link_seconds > 0) {
+    if (running->link_seconds > 0) {
       const double rate =
-        static_cast<double>(runner->transfer.bytes) / runner->link_seconds;
+        static_cast<double>(running->transfer.bytes) / running->link_seconds;
       m_rate += kRateGain * (rate - m_rate);
     }
-    m_running.erase(runner);
+    m_running.erase(running);
   }
 
   void Cancel(std::uint64_t aId, Instant aNow)
   {
     Charge(aNow);
-    const auto runner = Find(aId);
-    if (runner != m_running.end()) {
-      m_running.erase(runner);
+    const auto running = Find(aId);
+    if (running != m_running.end()) {
+      m_running.erase(running);
     }
     for (FairQueue& queue : m_waiting) {
       queue.RemoveIf(
@@ -203,8 +203,9 @@
   [[nodiscard]] double Use(TransferKind aKind, Instant aNow) const
   {
     const double busy = Running(aKind) > 0 ? 1 : 0;
-    const double old = std::exp(-ToSeconds(aNow - m_charged) / kUseWindow);
-    return busy + (m_use[static_cast<std::size_t>(aKind)] - busy) * old;
+    const double old =
+      std::exp(-ToSeconds(aNow - m_charged) / kUtilizationWindow);
+    return busy + (m_utilization[static_cast<std::size_t>(aKind)] - busy) * old;
   }
 
   [[nodiscard]] std::size_t Waiting(TransferKind aKind) const
@@ -214,14 +215,16 @@
 
   [[nodiscard]] std::size_t Running(TransferKind aKind) const
   {
-    return static_cast<std::size_t>(std::count_if(
-      m_running.begin(), m_running.end(), [aKind](const Runner& aRunner) {
-        return aRunner.transfer.kind == aKind;
-      }));
+    return static_cast<std::size_t>(
+      std::count_if(m_running.begin(),
+                    m_running.end(),
+                    [aKind](const RunningTransfer& aRunning) {
+                      return aRunning.transfer.kind == aKind;
+                    }));
   }
 
 private:
-  using Runners = std::vector<Runner>;
+  using RunningTransfers = std::vector<RunningTransfer>;
 
   FairQueue& Queue(TransferKind aKind)
   {
@@ -235,8 +238,8 @@
 
   [[nodiscard]] std::size_t Limit(TransferKind aKind) const
   {
-    return aKind == TransferKind::kImport ? m_settings.imports_at_once
-                                          : m_settings.exports_at_once;
+    return aKind == TransferKind::kImport ? m_settings.max_running_imports
+                                          : m_settings.max_running_exports;
   }
 
   void StartKind(TransferKind aKind, std::vector<Transfer>& aStarted)
@@ -247,24 +250,25 @@
     }
   }
 
-  Runners::iterator Find(std::uint64_t aId)
+  RunningTransfers::iterator Find(std::uint64_t aId)
   {
-    return std::find_if(
-      m_running.begin(), m_running.end(), [aId](const Runner& aRunner) {
-        return aRunner.transfer.id == aId;
-      });
+    return std::find_if(m_running.begin(),
+                        m_running.end(),
+                        [aId](const RunningTransfer& aRunning) {
+                          return aRunning.transfer.id == aId;
+                        });
   }
 
-  /// Gives each running transfer its share of the time since the last charge.
+  /// Charges each running transfer its share of the time since the last call.
   void Charge(Instant aNow)
   {
     const double share = ShareSince(aNow);
-    for (Runner& runner : m_running) {
-      runner.link_seconds += share;
+    for (RunningTransfer& running : m_running) {
+      running.link_seconds += share;
     }
     if (aNow > m_charged) {
-      m_use = { Use(TransferKind::kImport, aNow),
-                Use(TransferKind::kExport, aNow) };
+      m_utilization = { Use(TransferKind::kImport, aNow),
+                        Use(TransferKind::kExport, aNow) };
       m_charged = aNow;
     }
   }
@@ -277,16 +281,16 @@
     return ToSeconds(aNow - m_charged) / static_cast<double>(m_running.size());
   }
 
-  /// Bytes that the running transfers of a kind have yet to move.
+  /// Remaining bytes of the running transfers of a kind.
   [[nodiscard]] double RunningBytes(TransferKind aKind, Instant aNow) const
   {
     const double share = ShareSince(aNow);
     double bytes = 0;
-    for (const Runner& runner : m_running) {
-      if (runner.transfer.kind == aKind) {
-        const double moved = (runner.link_seconds + share) * m_rate;
+    for (const RunningTransfer& running : m_running) {
+      if (running.transfer.kind == aKind) {
+        const double moved = (running.link_seconds + share) * m_rate;
         bytes +=
-          std::max(0.0, static_cast<double>(runner.transfer.bytes) - moved);
+          std::max(0.0, static_cast<double>(running.transfer.bytes) - moved);
       }
     }
     return bytes;
@@ -297,13 +301,13 @@
   LinkSettings m_settings;
   double m_rate;
   Instant m_charged;
-  std::array<double, kKinds> m_use{};
+  std::array<double, kKinds> m_utilization{};
   std::array<FairQueue, kKinds> m_waiting;
-  Runners m_running;
+  RunningTransfers m_running;
 };
 
 LinkSchedule::LinkSchedule(const LinkSettings& aSettings)
-  : m_queues(std::make_unique<Queues>(aSettings))
+  : m_impl(std::make_unique<Impl>(aSettings))
 {
 }
 
@@ -317,61 +321,61 @@
                            const AccountId& aAccount,
                            Instant aNow) const
 {
-  return m_queues->ExpectedWait(aKind, aAccount, aNow);
+  return m_impl->ExpectedWait(aKind, aAccount, aNow);
 }
 
 bool
 LinkSchedule::Submit(const Transfer& aTransfer)
 {
-  return m_queues->Submit(aTransfer);
+  return m_impl->Submit(aTransfer);
 }
 
 std::vector<Transfer>
 LinkSchedule::Start(Instant aNow)
 {
-  return m_queues->Start(aNow);
+  return m_impl->Start(aNow);
 }
 
 std::vector<Transfer>
 LinkSchedule::Expire(Instant aNow)
 {
-  return m_queues->Expire(aNow);
+  return m_impl->Expire(aNow);
 }
 
 void
 LinkSchedule::Finish(std::uint64_t aId, Instant aNow)
 {
-  m_queues->Finish(aId, aNow);
+  m_impl->Finish(aId, aNow);
 }
 
 void
 LinkSchedule::Cancel(std::uint64_t aId, Instant aNow)
 {
-  m_queues->Cancel(aId, aNow);
+  m_impl->Cancel(aId, aNow);
 }
 
 double
 LinkSchedule::BytesPerSecond() const
 {
-  return m_queues->Rate();
+  return m_impl->Rate();
 }
 
 double
 LinkSchedule::Use(TransferKind aKind, Instant aNow) const
 {
-  return m_queues->Use(aKind, aNow);
+  return m_impl->Use(aKind, aNow);
 }
 
 std::size_t
 LinkSchedule::Waiting(TransferKind aKind) const
 {
-  return m_queues->Waiting(aKind);
+  return m_impl->Waiting(aKind);
 }
 
 std::size_t
 LinkSchedule::Running(TransferKind aKind) const
 {
-  return m_queues->Running(aKind);
+  return m_impl->Running(aKind);
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/link_schedule_test.cpp
+++ b/src/jujubehead/core/link_schedule_test.cpp
@@ -67,7 +67,7 @@
   CHECK_EQUAL(1, link.Running(TransferKind::kExport));
 }
 
-TEST(LinkSchedule, OneAccountsBurstDoesNotHoldUpAnother)
+TEST(LinkSchedule, ABurstOfOneAccountDoesNotDelayAnother)
 {
   for (std::uint64_t id = 1; id <= 10; ++id) {
     link.Submit(Import(id, "burst"));
@@ -79,7 +79,7 @@
   CHECK(first == 11 || second == 11);
 }
 
-TEST(LinkSchedule, AQuoteCountsAllThatWasGranted)
+TEST(LinkSchedule, ExpectedWaitIncludesGrantedTransfers)
 {
   CHECK(link.ExpectedWait(TransferKind::kImport, AccountId("a"), kStart) == 0s);
   link.Submit(Import(1, "a"));
@@ -90,7 +90,7 @@
           TransferKind::kImport, AccountId("a"), kStart + 500ms) == 1500ms);
 }
 
-TEST(LinkSchedule, LearnsThatTheLinkHasSlowedDown)
+TEST(LinkSchedule, TheRateEstimateFollowsASlowerLink)
 {
   Instant now = kStart;
   for (std::uint64_t id = 1; id <= 40; ++id) {
@@ -102,22 +102,22 @@
   DOUBLES_EQUAL(kRate / 4, link.BytesPerSecond(), 1);
 }
 
-TEST(LinkSchedule, DropsWhatGaveUpAndWhatWasCancelled)
+TEST(LinkSchedule, DropsExpiredAndCancelledTransfers)
 {
   link.Submit(Import(1, "a"));
   StartOne();
   link.Submit(Import(2, "a"));
   link.Submit(Import(3, "b"));
   link.Cancel(2, kStart);
-  const auto late = link.Expire(kStart + 2h);
-  CHECK_EQUAL(1, late.size());
-  CHECK_EQUAL(3, late.front().id);
+  const auto expired = link.Expire(kStart + 2h);
+  CHECK_EQUAL(1, expired.size());
+  CHECK_EQUAL(3, expired.front().id);
   CHECK_EQUAL(0, link.Waiting(TransferKind::kImport));
   link.Cancel(1, kStart);
   CHECK_EQUAL(0, link.Running(TransferKind::kImport));
 }
 
-TEST(LinkSchedule, AFullQueueTakesNoMore)
+TEST(LinkSchedule, AFullQueueRejectsTransfers)
 {
   LinkSchedule small{ LinkSettings{ kRate, 1, 1, 1 } };
   CHECK(small.Submit(Import(1, "a")));
