--- a/include/jujubehead/core/context_key.hpp
+++ b/include/jujubehead/core/context_key.hpp
@@ -16,11 +16,11 @@
 
 namespace jujubehead::core {
 
-/// Bytes of prompt text in a block, unless the deployment says otherwise.
+/// Default bytes of prompt text in a block.
 inline constexpr std::size_t kDefaultBlockBytes = 1024;
 
-/// @brief Who and what a context belongs to. Contexts of two scopes share no
-/// key, whatever their text.
+/// @brief Everything besides the text that cached blocks depend on. Contexts of
+/// two scopes share no key, whatever their text.
 struct ContextScope
 {
   AccountId account;
@@ -31,7 +31,7 @@
   friend bool operator==(const ContextScope&, const ContextScope&) = default;
 };
 
-/// @brief The name of one block of a prompt together with all before it.
+/// @brief Identifies one block of a prompt together with all before it.
 ///
 /// 128 bits of a SHA-256 chain that starts from the scope: equal keys mean
 /// equal scope and equal text from the first byte to the end of the block.
@@ -47,8 +47,7 @@
   {
   }
 
-  /// @return the key that 32 lower-case hex digits name; nothing for other
-  /// text.
+  /// @return the key of 32 lower-case hex digits; nothing for other text.
   [[nodiscard]] static std::optional<ContextKey> FromHex(
     std::string_view aText);
   /// @return 32 lower-case hex digits.
@@ -63,18 +62,18 @@
   Bytes m_bytes{};
 };
 
-/// @brief Names the blocks of a prompt.
+/// @brief Computes the keys of a prompt's blocks.
 /// @param aBlockBytes size of a block in bytes; above 0.
 /// @return one key for each full block, in order. A partial last block has
-/// none, as it could not be told from a longer one.
+/// none, as later text may still extend it.
 /// @throws std::invalid_argument when aBlockBytes is 0.
 std::vector<ContextKey>
 ChainKeys(const ContextScope& aScope,
           std::string_view aPrompt,
           std::size_t aBlockBytes = kDefaultBlockBytes);
 
-/// @return 32 hex digits that differ between any two scopes; engines and stores
-/// keep them beside the blocks and compare them before they hand blocks out.
+/// @return 32 hex digits that differ between any two scopes. Engines and stores
+/// save them with the blocks and compare them before they return blocks.
 std::string
 Salt(const ContextScope& aScope);
 
@@ -86,7 +85,7 @@
   std::size_t operator()(
     const jujubehead::core::ContextKey& aKey) const noexcept
   {
-    // The bytes are already uniform: the first ones serve as the hash.
+    // The bytes are uniform already, so the first ones serve as the hash.
     std::size_t value = 0;
     std::memcpy(&value, aKey.Raw().data(), sizeof value);
     return value;
--- a/include/jujubehead/core/eviction_forecast.hpp
+++ b/include/jujubehead/core/eviction_forecast.hpp
@@ -10,30 +10,30 @@
 
 namespace jujubehead::core {
 
-/// @brief Tells which contexts a target's prefix cache will evict next.
+/// @brief Predicts which contexts a target's prefix cache will evict next.
 ///
 /// The owner of a target sees every run start there, so it knows the order of
-/// use; a cache that drops what was unused for longest evicts a context when
-/// the blocks used since fill the cache. Late and lost cache events do not
-/// matter to it.
+/// use. An LRU cache evicts a context when the blocks used since then fill the
+/// cache. Unaffected by late and lost cache events.
 class EvictionForecast
 {
 public:
-  /// @param aCapacityBlocks blocks that the target's cache holds.
+  /// @param aCapacityBlocks capacity of the target's cache.
   explicit EvictionForecast(std::uint32_t aCapacityBlocks);
 
-  /// @brief The target has run a prompt.
-  /// @param aRoot the key of its first block, which names the context.
+  /// @brief Records that the target has run a prompt.
+  /// @param aRoot key of its first block, which identifies the context.
   void Used(const ContextKey& aRoot, std::uint32_t aBlocks);
 
-  /// @brief Drops a context, or all when the target has lost its cache.
+  /// @brief Removes a context.
   void Forget(const ContextKey& aRoot);
+  /// @brief Removes all contexts, when the target has lost its cache.
   void Clear();
 
-  /// @brief Takes out the contexts that are near their eviction.
+  /// @brief Removes the contexts that are near their eviction.
   /// @param aShare share of the capacity that must have been used since.
-  /// @return their roots, the one to be evicted first in front; each is
-  /// returned once after each use.
+  /// @return their roots, the next to be evicted first; each is returned once
+  /// per use.
   std::vector<ContextKey> TakeDue(double aShare);
 
 private:
@@ -46,7 +46,7 @@
 
   std::uint32_t m_capacity;
   std::uint64_t m_blocks = 0; ///< Of all entries.
-  Order m_order;              ///< Latest use in front.
+  Order m_order;              ///< Most recently used first.
   std::unordered_map<ContextKey, Order::iterator> m_places;
 };
 
--- a/include/jujubehead/core/kept_context.hpp
+++ b/include/jujubehead/core/kept_context.hpp
@@ -13,27 +13,27 @@
 
 namespace jujubehead::core {
 
-/// @brief Gives out generations that are never given out again.
+/// @brief Generates unique generation numbers.
 ///
-/// The epoch of the store's ownership is the high half, so that two owners of
-/// one store can't give out the same.
+/// The store's ownership epoch is the high half, so that two owners of one
+/// store never generate the same number.
 class GenerationSource
 {
 public:
   explicit GenerationSource(std::uint32_t aEpoch);
-  /// @return a generation above all that this source has given out.
+  /// @return a number above all earlier ones of this source.
   std::uint64_t Next();
 
 private:
   std::uint64_t m_last;
 };
 
-/// @return the handle under which a copy of these blocks is kept: the name of
-/// the last block, which stands for scope, text and length.
+/// @return the handle of a copy of these blocks: the key of the last block,
+/// which identifies scope, text and length.
 std::string
 HandleOf(std::span<const ContextKey> aKeys);
 
-/// @brief What was true of a copy when an import of it was chosen.
+/// @brief State of a copy when it was chosen for an import.
 struct ImportTicket
 {
   CopyName copy;
@@ -41,7 +41,7 @@
   std::vector<ContextKey> keys; ///< The blocks that the request will use.
 };
 
-/// @brief What a store says of a copy.
+/// @brief State of a copy as reported by its store.
 struct CopyReading
 {
   CopyName copy;
@@ -49,40 +49,40 @@
   std::string salt;
   std::vector<ContextKey> keys;
   std::uint64_t bytes = 0;      ///< Size at the commit.
-  std::uint64_t bytes_read = 0; ///< What has arrived.
+  std::uint64_t bytes_read = 0; ///< Bytes received.
 };
 
 enum class ImportVerdict
 {
   kAccept,
-  kOtherGeneration, ///< Freed, and perhaps written anew, since it was chosen.
+  kOtherGeneration, ///< Freed, and perhaps rewritten, since the choice.
   kUncommitted,     ///< Only partly written.
   kOtherScope,      ///< Another account's, model's, version's or adapter's.
-  kOtherBlocks,     ///< Not the prompt's blocks, or fewer of them.
-  kTruncated,       ///< Not all of its bytes have arrived.
+  kOtherBlocks,     ///< Other blocks than the prompt's, or fewer.
+  kTruncated,       ///< Not all of its bytes were received.
 };
 
 /// @brief Chooses a copy for a request, before the first byte is read.
 ///
-/// A copy that is still being written must not even be opened: blocks read
-/// early would be older than the commit that vouches for them later.
-/// @param aReading what the store says now; its bytes_read is not looked at.
-/// @return the ticket to check again at the use; nothing when the copy is not
-/// committed or holds none of the request's blocks.
+/// A copy that is still being written must not be opened: blocks read before
+/// the commit may differ from the committed ones.
+/// @param aReading the current state; bytes_read is ignored.
+/// @return the ticket for CheckImport(); nothing when the copy is not committed
+/// or holds none of the request's blocks.
 std::optional<ImportTicket>
 ChooseImport(const CopyReading& aReading,
              std::string aSalt,
              std::span<const ContextKey> aKeys);
 
-/// @brief Checks at its use that what an import was chosen for is still true.
+/// @brief Checks before use that an imported copy is still the one chosen.
 ///
-/// To be asked after the last byte has been read, with what the store says
-/// then: a copy that was freed while it was being read is refused too.
-/// @return kAccept when the blocks may go into an answer.
+/// Call it after the last byte has been read, with the state at that time, so
+/// that a copy that was freed during the read is rejected too.
+/// @return kAccept when the blocks may be used for a response.
 ImportVerdict
 CheckImport(const ImportTicket& aTicket, const CopyReading& aReading);
 
-/// @return the verdict as one word, for counters.
+/// @return the verdict as a counter label.
 std::string_view
 ToText(ImportVerdict aVerdict);
 
--- a/include/jujubehead/core/return_model.hpp
+++ b/include/jujubehead/core/return_model.hpp
@@ -9,23 +9,23 @@
 
 namespace jujubehead::core {
 
-/// @brief What the return model starts from and how fast it trusts an account.
+/// @brief Weights of the prior and the pool, and the limit on accounts.
 struct ReturnModelSettings
 {
-  /// Returns that a pool of all accounts weighs against an account's own.
+  /// Weight of the pool of all accounts in an account's estimate, in returns.
   double pool_weight = 8;
-  /// Returns that the prior weighs against the pool's own.
+  /// Weight of the prior in the pool's estimate, in returns.
   double prior_weight = 8;
-  /// Accounts with counts of their own; the rest share the pool's.
+  /// Accounts with their own counts; the others use the pool's.
   std::size_t max_accounts = 50000;
 };
 
-/// @brief Chance that an idle context returns, learnt from gaps.
+/// @brief Estimates when an idle context is used again, from past idle times.
 ///
-/// The rate of return is taken as constant within each span of idle time
-/// (spans double in length), estimated as returns by time at risk. An account
-/// is drawn towards the pool of all accounts, the pool towards a prior under
-/// which half of all contexts return within an hour.
+/// The rate of return is assumed constant within each span of idle time (two
+/// spans per doubling), estimated as returns per time at risk. The estimate of
+/// an account shrinks towards the pool of all accounts, that of the pool
+/// towards a prior under which half of all contexts return within an hour.
 class ReturnModel
 {
 public:
@@ -34,26 +34,26 @@
   ReturnModel(ReturnModel&&) noexcept;
   ReturnModel& operator=(ReturnModel&&) noexcept;
 
-  /// @brief A context was idle from one age to another.
-  /// @param aReturned whether it returned at the end; otherwise it is idle yet
-  /// or was given up.
+  /// @brief Records that a context was idle from one age to another.
+  /// @param aReturned whether it returned at the end; otherwise it is still
+  /// idle or was removed.
   void Observe(const AccountId& aAccount,
                Duration aFrom,
                Duration aTo,
                bool aReturned);
 
-  /// @brief Weighs all that was seen so far by a factor, so that later
-  /// observations count for more.
-  void Fade(double aFactor);
+  /// @brief Scales all observations so far by a factor, so that later ones
+  /// count for more.
+  void Decay(double aFactor);
 
-  /// @return chance of a return within a time from now, for a context that has
-  /// been idle for aIdle.
+  /// @return probability of a return within a time from now, for a context that
+  /// has been idle for aIdle.
   [[nodiscard]] double ChanceOfReturn(const AccountId& aAccount,
                                       Duration aIdle,
                                       Duration aWithin) const;
 
-  /// @return returns a second of keeping, over the time to keep that makes it
-  /// largest: the index by which contexts are ranked for room in a tier.
+  /// @return returns per second of retention, maximized over the retention
+  /// time: the index by which contexts are ranked for space in a tier.
   [[nodiscard]] double ReturnRate(const AccountId& aAccount,
                                   Duration aIdle) const;
 
--- a/include/jujubehead/core/sparse_depths.hpp
+++ b/include/jujubehead/core/sparse_depths.hpp
@@ -9,13 +9,13 @@
 
 namespace jujubehead::core {
 
-/// @brief The prefix lengths, in blocks, at which instances tell each other
-/// where a context lies: 1, 2, 3, ... and then each about a quarter longer.
+/// @brief The prefix lengths, in blocks, whose keys instances exchange to
+/// locate a context: 1, 2, 3, ... and then each about a quarter longer.
 ///
-/// A context of n blocks is told by about 4 log2(n) keys in place of n, and a
+/// A context of n blocks takes about 4 log2(n) keys in place of n, and a
 /// holder's prefix is understated by at most a fifth. All instances use the
-/// same lengths, so that keys told by one are found by another.
-/// @return the lengths up to `aBlocks`, rising.
+/// same lengths, so that keys published by one are found by another.
+/// @return the lengths up to `aBlocks`, ascending.
 std::vector<std::uint32_t>
 SparseDepths(std::uint32_t aBlocks);
 
@@ -23,8 +23,8 @@
 std::vector<ContextKey>
 SparseKeys(std::span<const ContextKey> aChain);
 
-/// @return the prefix length in blocks that the first `aKeys` of the sparse
-/// keys stand for; 0 for none.
+/// @return the prefix length, in blocks, of the first `aKeys` sparse keys; 0
+/// for none.
 std::uint32_t
 BlocksOfSparse(std::uint32_t aKeys);
 
--- a/src/jujubehead/core/context_key.cpp
+++ b/src/jujubehead/core/context_key.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::string_view kHexDigits = "0123456789abcdef";
-/// Separates this use of the hash from any other, and names its layout.
+/// Domain separator of the hash, with the version of its layout.
 constexpr std::string_view kDomain = "jujubehead context 1";
 
-/// SHA-256, one digest after another on one OpenSSL context.
+/// SHA-256; reuses one OpenSSL context for successive digests.
 class Hasher
 {
 public:
@@ -131,7 +131,7 @@
           std::size_t aBlockBytes)
 {
   if (aBlockBytes == 0) {
-    throw std::invalid_argument("ChainKeys: a block of 0 bytes");
+    throw std::invalid_argument("ChainKeys: aBlockBytes is 0");
   }
   Hasher hasher;
   ContextKey key = Seed(hasher, aScope);
--- a/src/jujubehead/core/context_key_test.cpp
+++ b/src/jujubehead/core/context_key_test.cpp
@@ -21,7 +21,7 @@
 
 TEST_GROUP(ContextKey){};
 
-TEST(ContextKey, HexReturnsWhatItNamed)
+TEST(ContextKey, HexRoundTrips)
 {
   CHECK(rc::check([](ContextKey::Bytes aBytes) {
     const ContextKey key(aBytes);
@@ -29,7 +29,7 @@
   }));
 }
 
-TEST(ContextKey, OtherTextNamesNoKey)
+TEST(ContextKey, FromHexRejectsOtherText)
 {
   CHECK(!ContextKey::FromHex(""));
   CHECK(!ContextKey::FromHex(std::string(31, 'a')));
@@ -37,7 +37,7 @@
   CHECK(!ContextKey::FromHex(std::string(31, 'a') + "g"));
 }
 
-TEST(ContextKey, KeysAgreeExactlyAsFarAsThePromptsDo)
+TEST(ContextKey, KeysAreEqualExactlyWhereThePrefixesAre)
 {
   CHECK(rc::check([](const std::string& aShared,
                      const std::string& aLeft,
@@ -63,7 +63,7 @@
   CHECK_THROWS(std::invalid_argument, ChainKeys(ScopeOf("a", "1"), "x", 0));
 }
 
-TEST(ContextKey, ScopesShareNoKeyEvenWhereTheirTextsRunTogether)
+TEST(ContextKey, ScopesWithEqualConcatenationsShareNoKey)
 {
   const std::string prompt(1024, 'x');
   const auto keyOf = [&](const ContextScope& aScope) {
--- a/src/jujubehead/core/eviction_forecast_test.cpp
+++ b/src/jujubehead/core/eviction_forecast_test.cpp
@@ -29,7 +29,7 @@
   CHECK(forecast.TakeDue(0.8).empty());
 }
 
-TEST(EvictionForecast, TheContextUnusedForLongestIsDueFirstAndOnce)
+TEST(EvictionForecast, TheLeastRecentlyUsedContextIsDueOnce)
 {
   forecast.Used(Root(1), 40);
   forecast.Used(Root(2), 40);
@@ -41,7 +41,7 @@
   CHECK(forecast.TakeDue(0.8).empty());
 }
 
-TEST(EvictionForecast, WhatIsForgottenIsNeverDue)
+TEST(EvictionForecast, RemovedContextsAreNeverDue)
 {
   forecast.Used(Root(1), 90);
   forecast.Used(Root(2), 90);
--- a/src/jujubehead/core/keep_policy.cpp
+++ b/src/jujubehead/core/keep_policy.cpp
@@ -43,11 +43,11 @@
   const double missing_share = static_cast<double>(aView.bytes_to_move) /
                                static_cast<double>(aView.value.bytes);
   const double import_seconds = transfer_seconds / (1 - utilization);
-  const double saved = missing_share * (aView.value.recompute_seconds +
-                                        aView.token_price_seconds) -
-                       import_seconds;
+  const double saved_seconds = missing_share * (aView.value.recompute_seconds +
+                                                aView.token_price_seconds) -
+                               import_seconds;
   const double delay = transfer_seconds * utilization / (1 - utilization);
-  return probability * saved - delay;
+  return probability * saved_seconds - delay;
 }
 
 std::optional<std::vector<std::size_t>>
--- a/src/jujubehead/core/kept_context.cpp
+++ b/src/jujubehead/core/kept_context.cpp
@@ -26,7 +26,7 @@
 HandleOf(std::span<const ContextKey> aKeys)
 {
   if (aKeys.empty()) {
-    throw std::invalid_argument("HandleOf: a copy of no blocks");
+    throw std::invalid_argument("HandleOf: aKeys is empty");
   }
   return aKeys.back().Hex();
 }
--- a/src/jujubehead/core/kept_context_test.cpp
+++ b/src/jujubehead/core/kept_context_test.cpp
@@ -15,23 +15,23 @@
 
 namespace {
 
-/// The rule that a world leaves out, to show that the others don't cover it.
-enum class Broken
+/// The check that a simulation omits, to show that the others don't cover it.
+enum class Omitted
 {
   kNothing,
-  kGeneration, ///< Reads whatever the handle now names.
-  kCommit,     ///< Reads what is only partly written.
-  kBlocks,     ///< Takes the handle for proof of what it holds.
-  kVersion,    ///< Names blocks without the weight version.
-  kAccount,    ///< Names blocks without the client account.
+  kGeneration, ///< Ignores the generation of a handle.
+  kCommit,     ///< Reads partly written copies.
+  kBlocks,     ///< Doesn't compare scope and blocks.
+  kVersion,    ///< Leaves the weight version out of the keys.
+  kAccount,    ///< Leaves the client account out of the keys.
 };
 
 constexpr std::size_t kBlock = 2;
 constexpr std::array<const char*, 2> kTexts{ "aabbcc", "aabbdd" };
 constexpr std::array<const char*, 2> kAccounts{ "left", "right" };
 
-/// What computing a block of a prompt yields: it depends on all before it, on
-/// whose it is and on the weights.
+/// Content of a computed block: depends on all text before its end, the account
+/// and the weight version.
 std::string
 Compute(const ContextScope& aScope, std::string_view aText, std::size_t aBlock)
 {
@@ -45,24 +45,24 @@
   std::string text;
 };
 
-/// An engine and a store that hand out few slots and few handles, so that both
-/// are used again soon.
-class World
+/// An engine and a store with few slots and few handles, so that both are
+/// reused soon.
+class Simulation
 {
 public:
-  explicit World(Broken aBroken)
-    : m_broken(aBroken)
+  explicit Simulation(Omitted aOmitted)
+    : m_omitted(aOmitted)
   {
   }
 
-  /// @return whether every answer so far was made of its own blocks only.
+  /// @return whether every response so far used its own blocks only.
   [[nodiscard]] bool IsSafe() const { return m_safe; }
 
   void Step(std::uint32_t aCommand)
   {
     const Prompt prompt = PromptOf(aCommand >> 8U);
     const std::size_t handle = (aCommand >> 4U) % kHandles;
-    // Writing takes most steps, so that copies end while reads go on.
+    // Most steps are writes, so that copies are replaced during reads.
     switch (aCommand % 16) {
       case 0:
         return Run(prompt);
@@ -80,7 +80,7 @@
       case 7:
         return Use();
       case 8:
-        return Disturb(aCommand >> 4U);
+        return InjectFault(aCommand >> 4U);
       default:
         return Write(handle);
     }
@@ -117,10 +117,10 @@
   [[nodiscard]] ContextScope NamedScope(const Prompt& aPrompt) const
   {
     ContextScope scope = aPrompt.scope;
-    if (m_broken == Broken::kVersion) {
+    if (m_omitted == Omitted::kVersion) {
       scope.version.clear();
     }
-    if (m_broken == Broken::kAccount) {
+    if (m_omitted == Omitted::kAccount) {
       scope.account = AccountId();
     }
     return scope;
@@ -131,14 +131,14 @@
     return ChainKeys(NamedScope(aPrompt), aPrompt.text, kBlock);
   }
 
-  /// Answers from the engine's own cache, computing what is not there.
+  /// Runs a prompt from the engine's own cache, computing missing blocks.
   void Run(const Prompt& aPrompt)
   {
     const auto keys = KeysOf(aPrompt);
     for (std::size_t i = 0; i < keys.size(); ++i) {
-      const auto truth = Compute(aPrompt.scope, aPrompt.text, i);
-      m_safe =
-        m_safe && m_cache.try_emplace(keys[i], truth).first->second == truth;
+      const auto expected = Compute(aPrompt.scope, aPrompt.text, i);
+      m_safe = m_safe &&
+               m_cache.try_emplace(keys[i], expected).first->second == expected;
     }
   }
 
@@ -190,7 +190,7 @@
 
   void Free(std::size_t aHandle) { m_copies.erase(aHandle); }
 
-  /// A slot that is given out again ends the copies that it belonged to.
+  /// Reusing a slot frees the copies that it belonged to.
   void DropUsersOf(std::size_t aSlot)
   {
     std::erase_if(m_copies, [aSlot](const auto& aEntry) {
@@ -222,7 +222,7 @@
     }
   }
 
-  /// The last step of an import: the check, then the answer.
+  /// The last step of an import: the check, then the response.
   void Use()
   {
     if (!m_import || m_import->read.size() < m_import->ticket.keys.size()) {
@@ -230,16 +230,16 @@
     }
     const Import import = *m_import;
     m_import.reset();
-    if (!MayUse(import)) {
+    if (!IsValidImport(import)) {
       return;
     }
     for (std::size_t i = 0; i < import.read.size(); ++i) {
-      const auto truth = Compute(import.prompt.scope, import.prompt.text, i);
-      m_safe = m_safe && import.read[i] == truth;
+      const auto expected = Compute(import.prompt.scope, import.prompt.text, i);
+      m_safe = m_safe && import.read[i] == expected;
     }
   }
 
-  [[nodiscard]] bool MayUse(const Import& aImport) const
+  [[nodiscard]] bool IsValidImport(const Import& aImport) const
   {
     for (const auto& [handle, copy] : m_copies) {
       if (copy.header.copy.handle == aImport.ticket.copy.handle) {
@@ -250,38 +250,38 @@
     return false;
   }
 
-  /// What the store says, made to look right where the world is broken.
+  /// The store's report, changed to pass the check that is omitted.
   [[nodiscard]] CopyReading Reading(const StoredCopy& aCopy,
                                     const ImportTicket& aTicket) const
   {
     CopyReading reading = aCopy.header;
-    if (m_broken == Broken::kGeneration) {
+    if (m_omitted == Omitted::kGeneration) {
       reading.copy = aTicket.copy;
     }
-    if (m_broken == Broken::kCommit) {
+    if (m_omitted == Omitted::kCommit) {
       reading.committed = true;
       reading.bytes_read = reading.bytes;
     }
-    if (m_broken == Broken::kBlocks) {
+    if (m_omitted == Omitted::kBlocks) {
       reading.salt = aTicket.salt;
       reading.keys = aTicket.keys;
     }
     return reading;
   }
 
-  void Disturb(std::uint32_t aChoice)
+  void InjectFault(std::uint32_t aChoice)
   {
     switch (aChoice % 4) {
-      case 0: // A store's crash leaves what was committed.
+      case 0: // A store crash keeps committed copies only.
         std::erase_if(m_copies, [](const auto& aEntry) {
           return !aEntry.second.header.committed;
         });
         return;
-      case 1: // An engine's crash; its import goes with it.
+      case 1: // An engine crash ends its import.
         m_cache.clear();
         m_import.reset();
         return;
-      case 2: // New weights; the import under way keeps the old ones.
+      case 2: // New weights; a running import keeps the old version.
         m_version = m_version == "1" ? "2" : "1";
         return;
       default: // The store's owner changes.
@@ -295,7 +295,7 @@
     return { "handle-" + std::to_string(aHandle), aGeneration };
   }
 
-  Broken m_broken;
+  Omitted m_omitted;
   bool m_safe = true;
   std::string m_version = "1";
   std::uint32_t m_epoch = 1;
@@ -308,13 +308,13 @@
 };
 
 bool
-IsSafeOver(Broken aBroken, const std::vector<std::uint32_t>& aCommands)
+RunIsSafe(Omitted aOmitted, const std::vector<std::uint32_t>& aCommands)
 {
-  World world(aBroken);
+  Simulation simulation(aOmitted);
   for (const std::uint32_t command : aCommands) {
-    world.Step(command);
+    simulation.Step(command);
   }
-  return world.IsSafe();
+  return simulation.IsSafe();
 }
 
 std::vector<std::uint32_t>
@@ -329,14 +329,14 @@
   return commands;
 }
 
-constexpr std::uint64_t kMostSchedules = 10000;
+constexpr std::uint64_t kMaxSchedules = 10000;
 
-/// Schedules until one shows the fault; none may need more than the limit.
+/// Runs random schedules until one shows the fault.
 bool
-IsCaught(Broken aBroken)
+IsDetected(Omitted aOmitted)
 {
-  for (std::uint64_t seed = 0; seed < kMostSchedules; ++seed) {
-    if (!IsSafeOver(aBroken, Commands(seed))) {
+  for (std::uint64_t seed = 0; seed < kMaxSchedules; ++seed) {
+    if (!RunIsSafe(aOmitted, Commands(seed))) {
       return true;
     }
   }
@@ -347,42 +347,42 @@
 
 TEST_GROUP(KeptContext){};
 
-TEST(KeptContext, NoInterleavingReadsAWrongBlock)
+TEST(KeptContext, NoInterleavingUsesAWrongBlock)
 {
   CHECK(rc::check([](std::uint64_t aSeed) {
-    RC_ASSERT(IsSafeOver(Broken::kNothing, Commands(aSeed)));
+    RC_ASSERT(RunIsSafe(Omitted::kNothing, Commands(aSeed)));
   }));
-  for (std::uint64_t seed = 0; seed < kMostSchedules; ++seed) {
-    CHECK(IsSafeOver(Broken::kNothing, Commands(seed)));
+  for (std::uint64_t seed = 0; seed < kMaxSchedules; ++seed) {
+    CHECK(RunIsSafe(Omitted::kNothing, Commands(seed)));
   }
 }
 
-TEST(KeptContext, ReadingAnotherGenerationIsCaught)
+TEST(KeptContext, OmittingTheGenerationCheckIsDetected)
 {
-  CHECK(IsCaught(Broken::kGeneration));
+  CHECK(IsDetected(Omitted::kGeneration));
 }
 
-TEST(KeptContext, ReadingWhatIsNotCommittedIsCaught)
+TEST(KeptContext, OmittingTheCommitCheckIsDetected)
 {
-  CHECK(IsCaught(Broken::kCommit));
+  CHECK(IsDetected(Omitted::kCommit));
 }
 
-TEST(KeptContext, TrustingTheHandleIsCaught)
+TEST(KeptContext, OmittingTheScopeAndBlockCheckIsDetected)
 {
-  CHECK(IsCaught(Broken::kBlocks));
+  CHECK(IsDetected(Omitted::kBlocks));
 }
 
-TEST(KeptContext, NamingBlocksWithoutTheVersionIsCaught)
+TEST(KeptContext, KeysWithoutTheVersionAreDetected)
 {
-  CHECK(IsCaught(Broken::kVersion));
+  CHECK(IsDetected(Omitted::kVersion));
 }
 
-TEST(KeptContext, NamingBlocksWithoutTheAccountIsCaught)
+TEST(KeptContext, KeysWithoutTheAccountAreDetected)
 {
-  CHECK(IsCaught(Broken::kAccount));
+  CHECK(IsDetected(Omitted::kAccount));
 }
 
-TEST(KeptContext, GenerationsOfTwoOwnersNeverMeet)
+TEST(KeptContext, GenerationsOfTwoOwnersNeverCollide)
 {
   std::set<std::uint64_t> seen;
   for (std::uint32_t epoch = 1; epoch <= 3; ++epoch) {
@@ -393,7 +393,7 @@
   }
 }
 
-TEST(KeptContext, ACopyThatIsBeingWrittenIsNotChosen)
+TEST(KeptContext, AnUncommittedCopyIsNotChosen)
 {
   const ContextScope scope{ AccountId("a"), ModelId("m"), "1", "" };
   const auto keys = ChainKeys(scope, "aabbcc", kBlock);
@@ -407,14 +407,14 @@
   CHECK_EQUAL(3, ticket->keys.size());
 }
 
-TEST(KeptContext, EachFaultOfAReadingHasItsVerdict)
+TEST(KeptContext, EachMismatchHasItsVerdict)
 {
   const ContextScope scope{ AccountId("a"), ModelId("m"), "1", "" };
   const auto keys = ChainKeys(scope, "aabbcc", kBlock);
   const ImportTicket ticket{ { HandleOf(keys), 7 }, Salt(scope), keys };
-  const CopyReading good{ ticket.copy, true, ticket.salt, keys, 3, 3 };
+  const CopyReading matching{ ticket.copy, true, ticket.salt, keys, 3, 3 };
   const auto verdict = [&](auto aChange) {
-    CopyReading reading = good;
+    CopyReading reading = matching;
     aChange(reading);
     return CheckImport(ticket, reading);
   };
--- a/src/jujubehead/core/return_model.cpp
+++ b/src/jujubehead/core/return_model.cpp
@@ -11,16 +11,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Spans of idle time: [0, 4 s), then two for each doubling; the last one has
-/// no end. Wider spans ranked contexts of one span as equal: at a factor of two
-/// that was everything between 4.5 and 9 hours.
+/// Spans of idle time: [0, 4 s), then two per doubling; the last one is
+/// unbounded. Contexts in one span rank alike: with one span per doubling, that
+/// would be everything between 4.5 and 9 hours.
 constexpr std::size_t kSpans = 36;
 constexpr double kSpansPerDoubling = 2;
 constexpr double kFirstSpanEnd = 4;
-/// Under the prior half of all contexts return within an hour.
+/// Median return time under the prior, in seconds: an hour.
 constexpr double kPriorHalfTime = 3600;
-/// Observations of an account after which its rates are worked out anew.
-constexpr int kRefreshAfter = 64;
+/// Observations of an account between updates of its rates.
+constexpr int kRefreshInterval = 64;
 
 template<typename T>
 using PerSpan = std::array<T, kSpans>;
@@ -31,7 +31,7 @@
   return std::max(0.0, std::chrono::duration_cast<Seconds>(aDuration).count());
 }
 
-/// The last span is taken to be as long as the others in proportion.
+/// Gives the unbounded last span an end too, in proportion to the others.
 double
 SpanEnd(std::size_t aSpan)
 {
@@ -62,44 +62,44 @@
   PerSpan<double> seconds{}; ///< Time at risk.
 };
 
-/// Returns a second, by span of idle time.
+/// Returns per second, by span of idle time.
 using Rates = PerSpan<double>;
 
 Rates
-Blend(const Counts& aCounts, const Rates& aToward, double aWeight)
+Blend(const Counts& aCounts, const Rates& aPrior, double aWeight)
 {
   Rates rates{};
   for (std::size_t i = 0; i < kSpans; ++i) {
     rates[i] = (aCounts.returns[i] + aWeight) /
-               (aCounts.seconds[i] + aWeight / aToward[i]);
+               (aCounts.seconds[i] + aWeight / aPrior[i]);
   }
   return rates;
 }
 
-/// Returns seen against those that the rates would have led one to expect.
+/// Ratio of observed returns to those expected under the rates.
 double
-Pace(const Counts& aCounts, const Rates& aRates, double aWeight)
+RateRatio(const Counts& aCounts, const Rates& aRates, double aWeight)
 {
-  double seen = aWeight;
+  double observed = aWeight;
   double expected = aWeight;
   for (std::size_t i = 0; i < kSpans; ++i) {
-    seen += aCounts.returns[i];
+    observed += aCounts.returns[i];
     expected += aCounts.seconds[i] * aRates[i];
   }
-  return seen / expected;
+  return observed / expected;
 }
 
-/// Draws towards the rates at the pace of the counts: an account that returns
-/// seldom does so in every span, unless it shows otherwise.
+/// Shrinks towards the rates scaled by RateRatio(): an account that seldom
+/// returns is assumed to do so in every span without evidence to the contrary.
 Rates
-BlendAtPace(const Counts& aCounts, const Rates& aToward, double aWeight)
+BlendScaled(const Counts& aCounts, const Rates& aPrior, double aWeight)
 {
-  const double pace = Pace(aCounts, aToward, aWeight);
-  Rates paced{};
+  const double ratio = RateRatio(aCounts, aPrior, aWeight);
+  Rates scaled{};
   for (std::size_t i = 0; i < kSpans; ++i) {
-    paced[i] = aToward[i] * pace;
+    scaled[i] = aPrior[i] * ratio;
   }
-  return Blend(aCounts, paced, aWeight);
+  return Blend(aCounts, scaled, aWeight);
 }
 
 Rates
@@ -110,11 +110,11 @@
   return rates;
 }
 
-/// Walks on from an age, adding up what the rates say.
-class Outlook
+/// Integrates the rates from an age onwards.
+class ReuseProjection
 {
 public:
-  Outlook(const Rates& aRates, double aAge)
+  ReuseProjection(const Rates& aRates, double aAge)
     : m_rates(aRates)
     , m_age(aAge)
     , m_span(SpanOf(aAge))
@@ -122,18 +122,18 @@
   }
 
   [[nodiscard]] bool AtEnd() const { return m_span == kSpans; }
-  [[nodiscard]] double Chance() const { return 1 - m_idle_chance; }
-  [[nodiscard]] double ExpectedSeconds() const { return m_expected; }
+  [[nodiscard]] double Chance() const { return 1 - m_idle_probability; }
+  [[nodiscard]] double ExpectedSeconds() const { return m_expected_seconds; }
   [[nodiscard]] double Age() const { return m_age; }
 
-  /// Goes on to the end of the span, at most to aLimit.
+  /// Advances to the end of the span, at most to aLimit.
   void Step(double aLimit)
   {
     const double end = std::min(SpanEnd(m_span), aLimit);
     const double length = std::max(0.0, end - m_age);
     const double left = std::exp(-m_rates[m_span] * length);
-    m_expected += m_idle_chance * (1 - left) / m_rates[m_span];
-    m_idle_chance *= left;
+    m_expected_seconds += m_idle_probability * (1 - left) / m_rates[m_span];
+    m_idle_probability *= left;
     m_age = end;
     ++m_span;
   }
@@ -142,13 +142,14 @@
   const Rates& m_rates;
   double m_age;
   std::size_t m_span;
-  double m_idle_chance = 1;
-  double m_expected = 0; ///< Expected time kept so far.
+  double m_idle_probability = 1;
+  double m_expected_seconds = 0; ///< Expected retention time so far.
 };
 
-/// Between the middles of two spans, so that age tells contexts apart.
+/// Interpolates between the middles of two spans, so that contexts in one span
+/// differ by age.
 double
-Between(const Rates& aRates, double aAge)
+Interpolate(const Rates& aRates, double aAge)
 {
   const std::size_t span = SpanOf(aAge);
   const double share =
@@ -161,17 +162,18 @@
   return aRates[low] * (1 - weight) + aRates[high] * weight;
 }
 
-/// Best ratio of returns to time kept, by span that the age is in.
+/// Best ratio of returns to retention time, over the ends of spans after the
+/// age.
 double
 BestRate(const Rates& aRates, double aAge)
 {
   constexpr double kNoLimit = 1e18;
-  Outlook outlook(aRates, aAge);
+  ReuseProjection projection(aRates, aAge);
   double best = 0;
-  while (!outlook.AtEnd()) {
-    outlook.Step(kNoLimit);
-    if (outlook.ExpectedSeconds() > 0) {
-      best = std::max(best, outlook.Chance() / outlook.ExpectedSeconds());
+  while (!projection.AtEnd()) {
+    projection.Step(kNoLimit);
+    if (projection.ExpectedSeconds() > 0) {
+      best = std::max(best, projection.Chance() / projection.ExpectedSeconds());
     }
   }
   return best;
@@ -196,14 +198,14 @@
     Add(m_pool, aFrom, aTo, aReturned);
     if (Account* account = AccountOf(aAccount)) {
       Add(account->counts, aFrom, aTo, aReturned);
-      if (++account->unseen >= kRefreshAfter) {
+      if (++account->since_refresh >= kRefreshInterval) {
         Refresh();
         Refresh(*account);
       }
     }
   }
 
-  void Fade(double aFactor)
+  void Decay(double aFactor)
   {
     Scale(m_pool, aFactor);
     Refresh();
@@ -217,11 +219,11 @@
                               double aIdle,
                               double aWithin) const
   {
-    Outlook outlook(RatesOf(aAccount), aIdle);
-    while (!outlook.AtEnd() && outlook.Age() < aIdle + aWithin) {
-      outlook.Step(aIdle + aWithin);
+    ReuseProjection projection(RatesOf(aAccount), aIdle);
+    while (!projection.AtEnd() && projection.Age() < aIdle + aWithin) {
+      projection.Step(aIdle + aWithin);
     }
-    return outlook.Chance();
+    return projection.Chance();
   }
 
   [[nodiscard]] double Rate(const AccountId& aAccount, double aIdle) const
@@ -229,7 +231,7 @@
     const auto found = m_accounts.find(aAccount);
     const Rates& best =
       found == m_accounts.end() ? m_pool_best : found->second.best;
-    return Between(best, aIdle);
+    return Interpolate(best, aIdle);
   }
 
 private:
@@ -238,7 +240,7 @@
     Counts counts;
     Rates rates{};
     Rates best{}; ///< BestRate by span.
-    int unseen = 0;
+    int since_refresh = 0;
   };
 
   static void Add(Counts& aCounts, double aFrom, double aTo, bool aReturned)
@@ -265,7 +267,7 @@
     }
   }
 
-  /// For each span, from the middle of it.
+  /// BestRate() from the middle of each span.
   static Rates Best(const Rates& aRates)
   {
     Rates best{};
@@ -277,15 +279,15 @@
 
   void Refresh()
   {
-    m_pool_rates = BlendAtPace(m_pool, Prior(), m_settings.prior_weight);
+    m_pool_rates = BlendScaled(m_pool, Prior(), m_settings.prior_weight);
     m_pool_best = Best(m_pool_rates);
   }
 
   void Refresh(Account& aAccount) const
   {
-    aAccount.unseen = 0;
+    aAccount.since_refresh = 0;
     aAccount.rates =
-      BlendAtPace(aAccount.counts, m_pool_rates, m_settings.pool_weight);
+      BlendScaled(aAccount.counts, m_pool_rates, m_settings.pool_weight);
     aAccount.best = Best(aAccount.rates);
   }
 
@@ -336,9 +338,9 @@
 }
 
 void
-ReturnModel::Fade(double aFactor)
+ReturnModel::Decay(double aFactor)
 {
-  m_estimator->Fade(aFactor);
+  m_estimator->Decay(aFactor);
 }
 
 double
--- a/src/jujubehead/core/return_model_test.cpp
+++ b/src/jujubehead/core/return_model_test.cpp
@@ -36,7 +36,7 @@
   CHECK(model.ReturnRate(returning, 0s) > 10 * model.ReturnRate(leaving, 0s));
 }
 
-TEST(ReturnModel, AnUnknownAccountIsTakenForTheMean)
+TEST(ReturnModel, AnUnknownAccountUsesThePool)
 {
   Learn();
   const AccountId unknown{ "unknown" };
@@ -45,17 +45,17 @@
   CHECK(chance > model.ChanceOfReturn(leaving, 0s, 30min));
 }
 
-TEST(ReturnModel, WhatFadedIsOutweighedByWhatIsNew)
+TEST(ReturnModel, NewObservationsOutweighDecayedOnes)
 {
   Learn();
-  model.Fade(0.01);
+  model.Decay(0.01);
   for (int i = 0; i < 100; ++i) {
     model.Observe(returning, 0s, 4h, false);
   }
   CHECK(model.ChanceOfReturn(returning, 0s, 30min) < 0.3);
 }
 
-TEST(ReturnModel, ChancesAreChancesAndGrowWithTime)
+TEST(ReturnModel, ProbabilitiesAreBoundedAndGrowWithTime)
 {
   CHECK(rc::check([this](const std::vector<std::uint16_t>& aGaps,
                          std::uint16_t aIdle,
--- a/src/jujubehead/core/sparse_depths_test.cpp
+++ b/src/jujubehead/core/sparse_depths_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(SparseDepths){};
 
-TEST(SparseDepths, AShorterChainUsesAPrefixOfTheDepthsOfALongerOne)
+TEST(SparseDepths, DepthsOfAShorterChainAreAPrefixOfALongerOnes)
 {
   CHECK(rc::check("prefix", [] {
     const auto shorter = *rc::gen::inRange<std::uint32_t>(0, 500);
@@ -28,7 +28,7 @@
   }));
 }
 
-TEST(SparseDepths, KeysStandForTheirDepths)
+TEST(SparseDepths, BlocksOfSparseInvertsTheDepths)
 {
   const auto depths = SparseDepths(300);
   for (std::uint32_t keys = 1; keys <= depths.size(); ++keys) {
