--- a/include/jujubehead/core/context_key.hpp
+++ b/include/jujubehead/core/context_key.hpp
@@ -65,7 +65,7 @@
 /// @brief Computes the keys of a prompt's blocks.
 /// @param aBlockBytes size of a block in bytes; above 0.
 /// @return one key for each full block, in order. A partial last block has
-/// none, as later text may still extend it.
+/// none, as it can't be distinguished from the start of a longer one.
 /// @throws std::invalid_argument when aBlockBytes is 0.
 std::vector<ContextKey>
 ChainKeys(const ContextScope& aScope,
--- a/src/jujubehead/core/keep_policy.cpp
+++ b/src/jujubehead/core/keep_policy.cpp
@@ -6,7 +6,8 @@
 namespace jujubehead::core {
 namespace {
 
-/// Upper bound of link utilization in the queueing delay.
+/// Upper bound of link utilization, so that the estimated queueing delay stays
+/// finite.
 constexpr double kMaxUtilization = 0.95;
 
 } // namespace
