--- a/include/jujubehead/core/account_key.hpp
+++ b/include/jujubehead/core/account_key.hpp
@@ -9,7 +9,7 @@
 
 namespace jujubehead::core {
 
-/// @brief What a caller presents: `<account>.<secret>`.
+/// @brief The credential of a caller: `<account>.<secret>`.
 struct AccountKey
 {
   AccountId account;
@@ -22,14 +22,14 @@
 
 /// @brief Makes the `key_hash` cell of a secret: `h1.<salt>.<hash>`, both in
 /// base64url. The hash is 16 bytes of PBKDF2 with HMAC-SHA-256, 100 rounds:
-/// secrets are random text of the command line, not people's passwords.
+/// secrets are random text from the command line, not people's passwords.
 /// @param aSalt base64url text of at least 8 letters, fresh for each secret.
-/// @throws std::runtime_error when the library fails.
+/// @throws std::runtime_error when OpenSSL fails.
 std::string
 HashKey(std::string_view aSecret, std::string_view aSalt);
 
-/// @return whether the secret is the one of that cell; takes the same time for
-/// every wrong secret. Callers may cache what was verified, by the whole key.
+/// @return whether the secret matches the cell, compared in constant time.
+/// Callers may cache successful results by the whole key.
 bool
 VerifyKey(std::string_view aSecret, std::string_view aKeyHash);
 
--- a/include/jujubehead/core/base64url.hpp
+++ b/include/jujubehead/core/base64url.hpp
@@ -8,11 +8,12 @@
 
 namespace jujubehead::core {
 
-/// @return the bytes in the URL-safe base64 letters, without padding.
+/// @return the bytes in URL-safe base64, without padding.
 std::string
 ToBase64Url(std::span<const std::uint8_t> aBytes);
 
-/// @return whether the text has only letters of that kind, and any.
+/// @return whether the text is not empty and has only URL-safe base64
+/// characters.
 bool
 IsBase64Url(std::string_view aText);
 
--- a/include/jujubehead/core/change_log.hpp
+++ b/include/jujubehead/core/change_log.hpp
@@ -14,7 +14,7 @@
 
 namespace jujubehead::core {
 
-/// @brief What a planned stop can be for.
+/// @brief What a planned stop can apply to.
 enum class StopKind : std::uint8_t
 {
   kTarget,
@@ -23,15 +23,15 @@
   kService,
 };
 
-/// @return the word for it: `target`, `instance`, `store` or `service`.
+/// @return `target`, `instance`, `store` or `service`.
 std::string_view
 StopKindName(StopKind aKind);
 
-/// @return the kind of that word.
+/// @return the kind with that name.
 std::optional<StopKind>
 StopKindOf(std::string_view aName);
 
-/// @brief Names what a planned stop is for.
+/// @brief Identifies what a planned stop applies to.
 struct StopSubject
 {
   StopKind kind = StopKind::kTarget;
@@ -41,16 +41,16 @@
   friend auto operator<=>(const StopSubject&, const StopSubject&) = default;
 };
 
-/// @brief A planned stop: no new work goes there.
+/// @brief A planned stop: the subject receives no new work.
 struct StopMark
 {
   StopSubject subject;
-  std::int64_t deadline_ms = 0; ///< Since the epoch; 0: none.
+  std::int64_t deadline_ms = 0; ///< Unix time; 0: none.
 
   friend bool operator==(const StopMark&, const StopMark&) = default;
 };
 
-/// @brief A row is added or replaced; only its written cells count.
+/// @brief Adds or replaces a row; inherited cells are ignored.
 struct PutRow
 {
   TableRow row;
@@ -61,7 +61,7 @@
   }
 };
 
-/// @brief A row is taken out.
+/// @brief Removes a row.
 struct RemoveRow
 {
   AccountId account;
@@ -70,7 +70,7 @@
   friend bool operator==(const RemoveRow&, const RemoveRow&) = default;
 };
 
-/// @brief A planned stop begins.
+/// @brief Begins or replaces a planned stop.
 struct SetStop
 {
   StopMark mark;
@@ -78,7 +78,7 @@
   friend bool operator==(const SetStop&, const SetStop&) = default;
 };
 
-/// @brief A planned stop is taken back.
+/// @brief Cancels a planned stop.
 struct ClearStop
 {
   StopSubject subject;
@@ -88,23 +88,23 @@
 
 using Change = std::variant<PutRow, RemoveRow, SetStop, ClearStop>;
 
-/// @return what a change touches, as text that is unique among changes:
-/// two changes conflict only when theirs is the same.
+/// @return the row or stop that a change applies to, as unique text: two
+/// changes conflict only when their subjects are equal.
 std::string
 ChangeSubject(const Change& aChange);
 
-/// @brief What one commit made: it is in force as a whole or not at all.
+/// @brief The changes of one commit, which take effect atomically.
 struct ChangeEntry
 {
-  std::uint64_t version = 0; ///< Of the sequence; the first is 1.
-  std::string token;         ///< Unique; the committer finds itself by it.
+  std::uint64_t version = 0; ///< Position in the log, from 1.
+  std::string token;         ///< Unique; identifies the commit when read back.
   std::string author;
   std::vector<Change> changes;
 
   friend bool operator==(const ChangeEntry&, const ChangeEntry&) = default;
 };
 
-/// @brief The state after an entry of the sequence.
+/// @brief The state after a log entry.
 struct TableSnapshot
 {
   std::uint64_t version = 0;
@@ -112,18 +112,18 @@
   std::vector<StopMark> stops; ///< Ordered by subject.
 };
 
-/// @brief What TableView::Apply() did.
+/// @brief Result of TableView::Apply() and TableView::Replace().
 enum class Applied : std::uint8_t
 {
   kInForce, ///< The view moved forward.
-  kOld,     ///< It was in force already.
-  kGap,     ///< Entries are missing in between; fetch them or a snapshot.
+  kOld,     ///< The view has this version or a newer one.
+  kGap,     ///< Entries before it are missing; fetch them or a snapshot.
 };
 
-/// @brief The table and stop marks in force; moves only forward.
+/// @brief The current table and stop marks; versions only increase.
 ///
-/// Current() is a shared immutable value, so that traffic threads keep one
-/// while the control thread moves on.
+/// Current() is a shared immutable value, so that traffic threads can keep it
+/// while the control thread replaces it.
 class TableView
 {
 public:
@@ -138,9 +138,9 @@
 
   /// @brief Applies one entry if it is the next one.
   Applied Apply(const ChangeEntry& aEntry);
-  /// @brief Applies entries in their order as one step; stops at a gap.
+  /// @brief Applies entries in order as one step; stops at a gap.
   Applied Apply(std::span<const ChangeEntry> aEntries);
-  /// @brief Takes a snapshot over if it is newer.
+  /// @brief Replaces the state if the snapshot is newer.
   Applied Replace(TableSnapshot aSnapshot);
 
 private:
@@ -156,7 +156,7 @@
 ToJson(const ChangeEntry& aEntry);
 std::string
 ToJson(const TableSnapshot& aSnapshot);
-/// @return the value, or nothing when the text is not one.
+/// @return the value, or nothing when the text is malformed.
 std::optional<ChangeEntry>
 ChangeEntryFromJson(std::string_view aText);
 std::optional<TableSnapshot>
--- a/include/jujubehead/core/finding.hpp
+++ b/include/jujubehead/core/finding.hpp
@@ -10,7 +10,7 @@
 
 namespace jujubehead::core {
 
-/// @brief Where a finding is. Row and column count from 1; 0 means the whole.
+/// @brief Location of a finding. Row and column 0: the whole file or row.
 struct Place
 {
   std::string file;       ///< File name, or `flags` / `environment`.
@@ -20,24 +20,24 @@
   friend bool operator==(const Place&, const Place&) = default;
 };
 
-/// @brief One thing that is wrong with an input, and what was expected.
+/// @brief One error in an input, and what was expected.
 struct Finding
 {
   Place place;
   std::string message;  ///< What is wrong.
-  std::string expected; ///< What would have been right; may be empty.
+  std::string expected; ///< The valid form; may be empty.
 
   friend bool operator==(const Finding&, const Finding&) = default;
 };
 
-/// @brief All that is wrong with an input, in the order of its places.
+/// @brief All errors of an input, in the order of their places.
 using Findings = std::vector<Finding>;
 
-/// @brief What a static factory function returns: the value, or all findings.
+/// @brief Result of a checked factory function: the value, or all findings.
 template<typename T>
 using Checked = boost::system::result<T, Findings>;
 
-/// @brief Renders findings for people, one a line.
+/// @brief Renders findings for people, one per line.
 /// @return lines of the form `file:row:column: message (expected ...)`.
 std::string
 Render(std::span<const Finding> aFindings);
--- a/include/jujubehead/core/ids.hpp
+++ b/include/jujubehead/core/ids.hpp
@@ -10,8 +10,8 @@
 
 namespace jujubehead::core {
 
-/// @brief A name that cannot be mixed up with a name of another kind.
-/// @tparam Kind an empty type that tells the kinds apart.
+/// @brief A strongly typed name: names of different kinds do not convert.
+/// @tparam Kind tag type.
 template<typename Kind>
 class Id
 {
@@ -34,13 +34,13 @@
   std::string m_text;
 };
 
-/// A client account: who pays for a request and whose data it touches.
+/// A client account: pays for a request and owns the data that it uses.
 using AccountId = Id<struct AccountKind>;
 /// A model, by the name that callers use.
 using ModelId = Id<struct ModelKind>;
 /// A target: a model engine or a plain service instance behind the system.
 using TargetId = Id<struct TargetKind>;
-/// A store of kept KV cache.
+/// A store of KV cache blocks.
 using StoreId = Id<struct StoreKind>;
 /// One of the system's own instances.
 using InstanceId = Id<struct InstanceKind>;
--- a/include/jujubehead/core/name_rule.hpp
+++ b/include/jujubehead/core/name_rule.hpp
@@ -10,7 +10,7 @@
 bool
 IsName(std::string_view aText);
 
-/// @return what IsName() asks for, for findings.
+/// @return the rule of IsName() as text for findings.
 std::string
 NameRule();
 
@@ -19,7 +19,7 @@
 bool
 IsModelName(std::string_view aText);
 
-/// @return what IsModelName() asks for, for findings.
+/// @return the rule of IsModelName() as text for findings.
 std::string
 ModelNameRule();
 
--- a/include/jujubehead/core/table.hpp
+++ b/include/jujubehead/core/table.hpp
@@ -37,7 +37,7 @@
 std::string_view
 ColumnName(TableColumn aColumn);
 
-/// @brief One row: what a client account may take of each target of a model.
+/// @brief One row: the limits of a client account at each target of a model.
 ///
 /// The row of account `*` holds a model's limits for a whole target and the
 /// defaults of its accounts. An account's empty cells hold the value of the
@@ -50,9 +50,9 @@
   std::string version;
   std::string adapter; ///< Empty: none. An account's `-`: none, also when the
                        ///< `*` row names one.
-  std::uint32_t weight = 1; ///< Share under contention, against the others'.
+  std::uint32_t weight = 1;       ///< Relative share under contention.
   std::uint32_t max_running = 1;  ///< At one target; 0 bars an account.
-  std::uint32_t max_waiting = 64; ///< Before one target.
+  std::uint32_t max_waiting = 64; ///< In the queue of one target.
   std::int32_t priority = 0;      ///< Lower runs first.
   Duration deadline = std::chrono::seconds(30); ///< Until the first token.
   double recompute_price = 100; ///< Of one recomputed token, in microseconds.
@@ -70,10 +70,10 @@
 
 /// The account of the rows that hold a model's limits and defaults.
 inline constexpr std::string_view kModelDefaultsAccount = "*";
-/// What the model of a plain service begins with.
+/// Prefix of the model names of plain services.
 inline constexpr std::string_view kServiceModelPrefix = "service:";
 
-/// @brief What tells a row from the others.
+/// @brief Identifies a row.
 struct TableRowKey
 {
   AccountId account;
@@ -83,16 +83,17 @@
   friend auto operator<=>(const TableRowKey&, const TableRowKey&) = default;
 };
 
-/// @brief Two rows have the same cells as written, whatever they inherit.
+/// @return whether the cells as written are equal; inherited values are
+/// ignored.
 bool
 SameCells(const TableRow& aLeft, const TableRow& aRight);
 
-/// @return the cell as a person writes it; empty where inherited.
+/// @return the cell as written in the CSV; empty where inherited.
 std::string
 CellText(const TableRow& aRow, TableColumn aColumn);
 
 /// @brief The operators' table: an immutable value that shares its rows with
-/// the tables it was made from, so that a copy or a changed one is cheap.
+/// the tables it was made from, so that copies and modified copies are cheap.
 class Table
 {
 public:
@@ -100,11 +101,11 @@
 
   Table() = default;
 
-  /// @brief Reads a table as comma-separated values with a first line of names.
-  /// @param aFile the name that findings carry.
+  /// @brief Parses comma-separated values with a header line.
+  /// @param aFile the file name in findings.
   /// @return the table, or every finding with its row and column.
   static Checked<Table> FromCsv(std::string_view aFile, std::string_view aText);
-  /// @brief Makes a table of rows that need not be in order.
+  /// @brief Makes a table from rows in any order.
   /// @return the table, or findings whose row is the index from 1.
   static Checked<Table> FromRows(std::string_view aFile,
                                  std::vector<TableRow> aRows);
@@ -124,17 +125,17 @@
   /// empty when unknown.
   [[nodiscard]] std::string_view KeyHash(const AccountId& aAccount) const;
 
-  /// @return the table as FromCsv() reads it, in the order of Rows().
+  /// @return the table in the format of FromCsv(), in the order of Rows().
   [[nodiscard]] std::string ToCsv() const;
 
-  /// @return this table with the rows of `aRemoved` taken out and those of
-  /// `aPut` added or replaced; not checked.
+  /// @return this table without the rows of `aRemoved` and with those of `aPut`
+  /// added or replaced; not checked.
   [[nodiscard]] Table With(std::span<const TableRow> aPut,
                            std::span<const TableRowKey> aRemoved) const;
   /// @brief As above, without copying rows.
   [[nodiscard]] Table With(std::vector<Row> aPut,
                            std::span<const TableRowKey> aRemoved) const;
-  /// @return what FromRows() would find about this table's rows together.
+  /// @return the findings of FromRows() for this table's rows.
   [[nodiscard]] Findings Check(std::string_view aFile) const;
 
 private:
--- a/include/jujubehead/core/table_diff.hpp
+++ b/include/jujubehead/core/table_diff.hpp
@@ -30,8 +30,8 @@
 
 using TableChange = std::variant<RowAdded, RowRemoved, RowChanged>;
 
-/// @return what turns one table into the other, in the order of rows. A row
-/// whose own cells stay is not listed, also where a default it inherits moves.
+/// @return the differences, in the order of rows. A row whose written cells are
+/// equal is not listed, even if a default that it inherits changes.
 std::vector<TableChange>
 Diff(const Table& aOld, const Table& aNew);
 
--- a/include/jujubehead/core/table_follower.hpp
+++ b/include/jujubehead/core/table_follower.hpp
@@ -15,40 +15,41 @@
 
 namespace jujubehead::core {
 
-/// @brief How a follower keeps up.
+/// @brief Timing of a TableFollower.
 struct TableFollowerOptions
 {
   Duration poll_interval = std::chrono::seconds(1);
-  /// After a failed read, doubled up to `max_backoff`.
+  /// Delay after a failed read; doubles up to `max_backoff`.
   Duration min_backoff = std::chrono::milliseconds(250);
   Duration max_backoff = std::chrono::seconds(4);
-  /// How long a peer may take to send its snapshot, and how long a starting
-  /// instance listens for peers' versions while the service is away.
+  /// Limit for a peer to send its snapshot, and how long a starting instance
+  /// collects peers' versions while the table service is unavailable.
   Duration peer_timeout = std::chrono::seconds(3);
-  /// Spreads the polls of instances that start together; 0 to 1.
+  /// Offsets the polls of instances that start together, as a fraction of
+  /// `poll_interval`; 0 to 1.
   double jitter = 0;
 };
 
-/// @brief Nothing to do before then.
+/// @brief Nothing to do before `until`.
 struct FollowIdle
 {
   Instant until;
 };
 
-/// @brief To do: read entries after this version from the table service.
-/// Answer by OnEntries() or OnServiceFailed().
+/// @brief Request: read the entries after `after` from the table service.
+/// Answer with OnEntries() or OnServiceFailed().
 struct FollowEntries
 {
   std::uint64_t after = 0;
 };
 
-/// @brief To do: read the newest snapshot of the object store.
-/// Answer by OnStoredSnapshot() or OnServiceFailed().
+/// @brief Request: read the newest snapshot from the object store.
+/// Answer with OnStoredSnapshot() or OnServiceFailed().
 struct FollowSnapshot
 {};
 
-/// @brief To do: ask a peer for the snapshot that it has in force.
-/// Answer by OnPeerSnapshot() or OnPeerFailed().
+/// @brief Request: fetch the current snapshot of a peer.
+/// Answer with OnPeerSnapshot() or OnPeerFailed().
 struct FollowPeer
 {
   InstanceId peer;
@@ -57,20 +58,20 @@
 using FollowStep =
   std::variant<FollowIdle, FollowEntries, FollowSnapshot, FollowPeer>;
 
-/// @brief Keeps an instance's table up with the service and its peers, and
-/// says whether it may serve by it.
+/// @brief Keeps an instance's table up to date with the table service and its
+/// peers, and decides whether the instance may serve with it.
 ///
-/// The view only moves forward. A starting instance may serve once it has read
-/// to the head of the service or, with the service away for `peer_timeout`, has
-/// what the newest of its peers has; in neither case on an older version than
-/// any peer or the service has shown. Once it may, it always may: no change can
-/// be accepted while the service is away.
+/// The view only moves forward. A starting instance is ready once it has read
+/// to the head of the service or, with the service unavailable for
+/// `peer_timeout`, has the version of its newest peer; in neither case with an
+/// older version than any peer or the service has reported. Once ready, it
+/// stays ready: no change can be committed while the service is unavailable.
 class TableFollower
 {
 public:
   explicit TableFollower(TableFollowerOptions aOptions);
 
-  /// @return what to do now; one step is out at a time.
+  /// @return the next step; at most one request is pending at a time.
   FollowStep Next(Instant aNow);
 
   void OnEntries(Instant aNow,
@@ -83,22 +84,22 @@
                       std::optional<TableSnapshot> aSnapshot);
   void OnPeerFailed(Instant aNow, const InstanceId& aPeer);
 
-  /// @brief A peer said what it has in force. A peer that may not serve yet
-  /// says 0.
+  /// @brief A peer reported its current version. A peer that is not ready yet
+  /// reports 0.
   void OnPeerVersion(const InstanceId& aPeer, std::uint64_t aVersion);
-  /// @brief The peer is gone; what it showed still counts.
-  void OnPeerGone(const InstanceId& aPeer);
+  /// @brief The peer left; the versions that it reported still count.
+  void OnPeerRemoved(const InstanceId& aPeer);
 
   [[nodiscard]] const TableView& View() const { return m_view; }
-  /// @return why the instance may not serve yet; nothing: it may.
+  /// @return why the instance may not serve yet, or nothing when it may.
   [[nodiscard]] std::optional<std::string> NotReady() const;
   /// @return whether the last read of the service failed.
   [[nodiscard]] bool IsServiceAway() const { return m_service_failures != 0; }
-  /// @return how long ago the view was known to be the newest.
+  /// @return the time since the view was last known to be up to date.
   [[nodiscard]] Duration Age(Instant aNow) const;
 
 private:
-  enum class Out : std::uint8_t
+  enum class PendingStep : std::uint8_t
   {
     kNothing,
     kEntries,
@@ -107,29 +108,29 @@
   };
 
   [[nodiscard]] std::optional<InstanceId> NewestPeer(Instant aNow) const;
-  FollowStep Ask(Instant aNow, const InstanceId& aPeer);
-  void Finish(Instant aNow, Duration aNext);
+  FollowStep RequestSnapshot(Instant aNow, const InstanceId& aPeer);
+  void Complete(Instant aNow, Duration aNext);
   void UpdateReadiness(Instant aNow);
   [[nodiscard]] Duration NextAfterEntries(bool aGap, bool aAtHead) const;
   [[nodiscard]] Duration Backoff() const;
 
   TableFollowerOptions m_options;
   TableView m_view;
-  Out m_out = Out::kNothing;
-  Instant m_out_since;
-  InstanceId m_asked;
-  Instant m_next;
-  bool m_wants_snapshot = true; ///< Before entries: at start and at a gap.
+  PendingStep m_pending = PendingStep::kNothing;
+  Instant m_pending_since;
+  InstanceId m_pending_peer;
+  Instant m_next_poll_at;
+  bool m_needs_snapshot = true; ///< At start and after a gap.
   unsigned m_service_failures = 0;
   std::optional<Instant> m_failing_since;
-  std::string m_why;
+  std::string m_service_error;
   bool m_read_to_head = false;
   bool m_has_peer_snapshot = false;
   bool m_ready = false;
-  std::uint64_t m_shown = 0; ///< The newest version anyone has shown.
-  std::optional<Instant> m_newest_at;
-  std::map<InstanceId, std::uint64_t> m_peers;
-  std::map<InstanceId, Instant> m_not_before; ///< Peers that failed.
+  std::uint64_t m_newest_reported = 0; ///< Newest version reported by anyone.
+  std::optional<Instant> m_up_to_date_at;
+  std::map<InstanceId, std::uint64_t> m_peer_versions;
+  std::map<InstanceId, Instant> m_retry_after; ///< Of peers that failed.
 };
 
 } // namespace jujubehead::core
--- a/include/jujubehead/core/table_publish.hpp
+++ b/include/jujubehead/core/table_publish.hpp
@@ -12,40 +12,40 @@
 
 namespace jujubehead::core {
 
-/// @brief To do: read the entries after a version, oldest first.
+/// @brief Request: read the entries after a version, oldest first.
 /// Answer: EntriesRead or Unavailable.
 struct ReadEntries
 {
   std::uint64_t after = 0;
 };
 
-/// @brief To do: write this entry if the head is at `entry.version - 1`, as a
-/// whole or not at all. A repeat of the same entry must not write twice.
+/// @brief Request: write this entry atomically if the head is at
+/// `entry.version - 1`. Repeating the same entry must not write it twice.
 /// Answer: CommitDone, HeadMoved, CommitUnknown or Unavailable.
 struct CommitEntry
 {
   ChangeEntry entry;
 };
 
-/// @brief To do: wait a little, longer after more failures. Answer: Continue.
+/// @brief Request: back off, longer after more failures. Answer: Continue.
 struct WaitAWhile
 {
   unsigned failures = 0;
 };
 
-/// @brief Over: the changes are in force since this version.
+/// @brief Result: the changes took effect with this version.
 struct Published
 {
   std::uint64_t version = 0;
 };
 
-/// @brief Over: nothing had to be written; all of it was in force already.
+/// @brief Result: nothing was written; all changes were in effect already.
 struct AlreadyInForce
 {
   std::uint64_t version = 0;
 };
 
-/// @brief One's own change and a later one of another operator touch the same.
+/// @brief A later change of another operator has the same subject as ours.
 struct ChangeConflict
 {
   std::string subject; ///< See ChangeSubject().
@@ -56,26 +56,26 @@
                          const ChangeConflict&) = default;
 };
 
-/// @brief Over: nothing was written, because others changed the same rows
-/// since the base.
+/// @brief Result: nothing was written, because other operators changed the same
+/// rows since the base.
 struct Conflicted
 {
   std::vector<ChangeConflict> conflicts;
 };
 
-/// @brief Over: nothing was written; together with what others changed, the
-/// table would be wrong.
+/// @brief Result: nothing was written; merged with the changes of other
+/// operators, the table would be invalid.
 struct Refused
 {
   Findings findings;
 };
 
-/// @brief Over: the service could not be reached for too long.
+/// @brief Result: too many attempts failed.
 struct GaveUp
 {
   std::string why;
-  /// A write was not answered and could not be settled: it may be or come in
-  /// force. Running the same command again settles it.
+  /// The outcome of a write is unknown: it may take effect, now or later.
+  /// Running the same command again resolves it.
   bool may_be_in_force = false;
 };
 
@@ -88,7 +88,7 @@
                                  Refused,
                                  GaveUp>;
 
-/// @brief Entries as read; `at_head`: there are no more.
+/// @brief The entries that were read; `at_head`: there are no more.
 struct EntriesRead
 {
   std::vector<ChangeEntry> entries;
@@ -99,11 +99,12 @@
 struct CommitDone
 {};
 
-/// @brief The entry was not and will not be written: the head is elsewhere.
+/// @brief The entry was not and will not be written: the head has another
+/// version.
 struct HeadMoved
 {};
 
-/// @brief The entry may have been written, or may yet be.
+/// @brief The entry may have been written, or may still be.
 struct CommitUnknown
 {
   std::string why;
@@ -126,17 +127,17 @@
                                    Unavailable,
                                    Continue>;
 
-/// @brief Decides how one set of changes gets in force, as a whole.
+/// @brief State machine that commits one set of changes atomically.
 ///
-/// Others' changes to other rows are taken in; a change of theirs to the same
-/// row since the base is a conflict, unless it made the same. An unanswered
-/// write is settled before anything else is written: either its entry is read
-/// back by its token, or the head has moved past the one place it could take,
-/// or the very same write is repeated.
+/// Other operators' changes to other rows are merged; their change to the same
+/// row since the base is a conflict, unless it is identical. A write with
+/// unknown outcome is resolved before anything else is written: its entry is
+/// read back by its token, or the head has passed the only version that it
+/// could take, or the identical write is repeated.
 class TablePublish
 {
 public:
-  /// @param aBase what the changes were made against.
+  /// @param aBase the state that the changes were made against.
   /// @param aToken unique to this set of changes.
   TablePublish(TableView aBase,
                std::vector<Change> aChanges,
@@ -147,33 +148,34 @@
   /// @return the next step after the answer to the last one.
   PublishStep On(PublishAnswer aAnswer);
 
-  /// @return what is in force, as far as it was read.
+  /// @return the state as far as it was read.
   [[nodiscard]] const TableView& View() const { return m_view; }
 
 private:
   PublishStep OnEntries(const EntriesRead& aRead);
   PublishStep OnFailure(std::string aWhy);
   PublishStep AtHead();
-  void TakeIn(const ChangeEntry& aEntry);
-  [[nodiscard]] std::vector<Change> Missing() const;
+  void RecordEntry(const ChangeEntry& aEntry);
+  [[nodiscard]] std::vector<Change> PendingChanges() const;
   [[nodiscard]] std::vector<ChangeConflict> Conflicts() const;
 
   TableView m_view;
   std::vector<Change> m_changes;
   std::string m_token;
   std::string m_author;
-  /// Who last touched the subjects of one's own changes since the base.
-  std::map<std::string, ChangeConflict> m_touched;
-  std::uint64_t m_unsettled = 0; ///< Version of an unanswered write, or 0.
-  std::uint64_t m_own_version = 0;
+  /// Last change of other operators since the base, by subject.
+  std::map<std::string, ChangeConflict> m_concurrent_changes;
+  std::uint64_t m_unresolved_version =
+    0; ///< Of a write with unknown outcome, or 0.
+  std::uint64_t m_committed_version = 0;
   unsigned m_failures = 0;
 };
 
-/// @return whether a change would change nothing.
+/// @return whether the change is in effect already.
 bool
 Holds(const TableSnapshot& aSnapshot, const Change& aChange);
 
-/// @return the changes that turn one table into the other.
+/// @return the changes that turn the old table into the new one.
 std::vector<Change>
 ChangesBetween(const Table& aOld, const Table& aNew);
 
--- a/include/jujubehead/core/table_review.hpp
+++ b/include/jujubehead/core/table_review.hpp
@@ -10,20 +10,21 @@
 
 namespace jujubehead::core {
 
-/// @return an account's share of a model in percent: its weight among those of
-/// all accounts that their rows do not bar from it.
+/// @return an account's share of a model in percent: its weight relative to the
+/// sum over all accounts that are not barred from the model.
 double
 SharePercent(const Table& aTable,
              const AccountId& aAccount,
              const ModelId& aModel);
 
-/// @return the difference as a reviewer reads it: a paragraph a model, a line a
-/// row, and what becomes of the shares, also of those whose row stays.
+/// @return the difference for a reviewer: a paragraph per model, a line per
+/// row, and the changes of shares, including those of accounts with unchanged
+/// rows.
 std::string
 RenderReview(const Table& aOld, const Table& aNew);
 
-/// @return subjects of those changes whose row is no longer as it was in the
-/// base, nor as the change would make it.
+/// @return the subjects of those changes whose row equals neither the base nor
+/// the result of the change.
 std::vector<std::string>
 ChangedSince(const Table& aBase,
              const TableSnapshot& aCurrent,
--- a/src/jujubehead/core/account_key.cpp
+++ b/src/jujubehead/core/account_key.cpp
@@ -33,7 +33,7 @@
                       static_cast<int>(hash.size()),
                       hash.data());
   if (done != 1) {
-    throw std::runtime_error("hashing a key failed");
+    throw std::runtime_error("PBKDF2 of an account key failed");
   }
   return ToBase64Url(hash);
 }
--- a/src/jujubehead/core/change_log.cpp
+++ b/src/jujubehead/core/change_log.cpp
@@ -19,11 +19,11 @@
   return aMark.subject < aSubject;
 }
 
-/// Folds changes in their order into one step.
-class Folder
+/// Applies entries in order to a snapshot, as one step.
+class SnapshotBuilder
 {
 public:
-  explicit Folder(const TableSnapshot& aFrom)
+  explicit SnapshotBuilder(const TableSnapshot& aFrom)
     : m_from(aFrom)
   {
     for (const StopMark& mark : aFrom.stops) {
@@ -149,9 +149,9 @@
 {
   const auto found = std::lower_bound(
     aSnapshot.stops.begin(), aSnapshot.stops.end(), aSubject, IsBefore);
-  const bool is_it =
+  const bool is_match =
     found != aSnapshot.stops.end() && found->subject == aSubject;
-  return is_it ? &*found : nullptr;
+  return is_match ? &*found : nullptr;
 }
 
 TableView::TableView()
@@ -176,7 +176,7 @@
 {
   std::uint64_t version = Version();
   bool gap = false;
-  Folder folder(*m_current);
+  SnapshotBuilder builder(*m_current);
   for (const ChangeEntry& entry : aEntries) {
     if (entry.version <= version) {
       continue;
@@ -185,12 +185,12 @@
       gap = true;
       break;
     }
-    folder.Add(entry);
+    builder.Add(entry);
     version = entry.version;
   }
   const bool moved = version != Version();
   if (moved) {
-    m_current = std::make_shared<const TableSnapshot>(folder.Take());
+    m_current = std::make_shared<const TableSnapshot>(builder.Take());
   }
   if (gap) {
     return Applied::kGap;
--- a/src/jujubehead/core/change_log_codec.cpp
+++ b/src/jujubehead/core/change_log_codec.cpp
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-/// The text or bytes are not what they should be.
+/// Thrown when the text or bytes are malformed.
 struct Malformed
 {};
 
@@ -49,8 +49,8 @@
   return { SubjectOf(aJson), aJson.at(2).get<std::int64_t>() };
 }
 
-/// All changes but rows.
-struct OtherJson
+/// Encodes every change except PutRow.
+struct NonRowChangeJson
 {
   Json operator()(const PutRow& /*aChange*/) const { return nullptr; }
   Json operator()(const RemoveRow& aChange) const
@@ -70,7 +70,7 @@
 };
 
 Change
-OtherOf(const Json& aJson)
+NonRowChangeOf(const Json& aJson)
 {
   if (aJson.contains("remove")) {
     const Json& key = aJson.at("remove");
@@ -83,8 +83,8 @@
   return ClearStop{ SubjectOf(aJson.at("clear_stop")) };
 }
 
-/// Rows as one text: a JSON tree of 46,000 rows would take several times the
-/// memory of the table itself.
+/// Rows as one CSV text: a JSON tree of 46,000 rows would take several times
+/// the memory of the table itself.
 class RowsText
 {
 public:
@@ -115,7 +115,7 @@
     if (const auto* put = std::get_if<PutRow>(&change)) {
       rows.Add(put->row);
     } else {
-      others.push_back(std::visit(OtherJson(), change));
+      others.push_back(std::visit(NonRowChangeJson(), change));
     }
   }
   return { { "version", aEntry.version },
@@ -136,7 +136,7 @@
     entry.changes.emplace_back(PutRow{ std::move(aRow) });
   });
   for (const Json& change : aJson.at("others")) {
-    entry.changes.push_back(OtherOf(change));
+    entry.changes.push_back(NonRowChangeOf(change));
   }
   return entry;
 }
@@ -153,8 +153,8 @@
            { "rows", aSnapshot.table.ToCsv() } };
 }
 
-/// Rows come in order, the `*` rows first, so that the others can be filled
-/// before they are shared and need no copy later.
+/// Rows arrive in order, the `*` rows first, so that the inherited cells of the
+/// others are filled before the rows are shared and need no copy later.
 Table
 TableOf(const Json& aText)
 {
@@ -163,7 +163,7 @@
   ReadRows(aText, [&](TableRow aRow) {
     const auto found = defaults.find(aRow.model);
     if (found != defaults.end()) {
-      detail::Inherit(aRow, *found->second);
+      detail::FillInherited(aRow, *found->second);
     }
     rows.push_back(std::make_shared<const TableRow>(std::move(aRow)));
     if (rows.back()->IsModelDefaults()) {
@@ -196,10 +196,10 @@
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// @return the value, or nothing when reading found it malformed.
+/// @return the value, or nothing when it is malformed.
 template<typename Read>
 auto
-Attempt(Read aRead) -> std::optional<decltype(aRead())>
+TryParse(Read aRead) -> std::optional<decltype(aRead())>
 {
   try {
     return aRead();
@@ -227,13 +227,13 @@
 std::optional<ChangeEntry>
 ChangeEntryFromJson(std::string_view aText)
 {
-  return Attempt([&] { return EntryOf(Json::parse(aText)); });
+  return TryParse([&] { return EntryOf(Json::parse(aText)); });
 }
 
 std::optional<TableSnapshot>
 SnapshotFromJson(std::string_view aText)
 {
-  return Attempt([&] { return SnapshotOf(Json::parse(aText)); });
+  return TryParse([&] { return SnapshotOf(Json::parse(aText)); });
 }
 
 std::vector<std::uint8_t>
@@ -251,13 +251,13 @@
 std::optional<ChangeEntry>
 ChangeEntryFromCbor(std::span<const std::uint8_t> aBytes)
 {
-  return Attempt([&] { return EntryOf(Json::from_cbor(aBytes)); });
+  return TryParse([&] { return EntryOf(Json::from_cbor(aBytes)); });
 }
 
 std::optional<TableSnapshot>
 SnapshotFromCbor(std::span<const std::uint8_t> aBytes)
 {
-  return Attempt([&] { return SnapshotOf(Json::from_cbor(aBytes)); });
+  return TryParse([&] { return SnapshotOf(Json::from_cbor(aBytes)); });
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/change_log_test.cpp
+++ b/src/jujubehead/core/change_log_test.cpp
@@ -46,7 +46,7 @@
 const StopSubject kTarget{ StopKind::kTarget, "t1" };
 
 std::vector<ChangeEntry>
-SomeEntries()
+MakeEntries()
 {
   return { Entry(1, { PutRow{ ModelRow(8) }, PutRow{ AccountRow("a", 2) } }),
            Entry(2, { SetStop{ { kTarget, 77 } } }),
@@ -60,10 +60,10 @@
 
 TEST_GROUP(ChangeLog){};
 
-TEST(ChangeLog, EntriesApplyInTheirOrderOnly)
+TEST(ChangeLog, EntriesApplyOnlyInOrder)
 {
   TableView view;
-  const auto entries = SomeEntries();
+  const auto entries = MakeEntries();
   CHECK(view.Apply(entries[1]) == Applied::kGap);
   CHECK_EQUAL(0U, view.Version());
   CHECK(view.Apply(entries[0]) == Applied::kInForce);
@@ -81,7 +81,7 @@
 TEST(ChangeLog, EntriesBeforeAGapStillApply)
 {
   TableView view;
-  auto entries = SomeEntries();
+  auto entries = MakeEntries();
   entries.erase(entries.begin() + 2);
   CHECK(view.Apply(entries) == Applied::kGap);
   CHECK_EQUAL(2U, view.Version());
@@ -90,7 +90,7 @@
 TEST(ChangeLog, AnOlderSnapshotNeverReplaces)
 {
   TableView view;
-  view.Apply(SomeEntries());
+  view.Apply(MakeEntries());
   TableSnapshot old;
   old.version = 3;
   CHECK(view.Replace(old) == Applied::kOld);
@@ -100,10 +100,10 @@
   CHECK_EQUAL(0U, view.Current()->table.Rows().size());
 }
 
-TEST(ChangeLog, ARowSeenEarlierStaysAsItWas)
+TEST(ChangeLog, ASnapshotHeldEarlierStaysUnchanged)
 {
   TableView view;
-  const auto entries = SomeEntries();
+  const auto entries = MakeEntries();
   view.Apply(entries[0]);
   const auto before = view.Current();
   view.Apply(entries);
@@ -111,10 +111,10 @@
   CHECK(before->table.Find(AccountId("a"), ModelId("m")) != nullptr);
 }
 
-TEST(ChangeLog, EntriesAndSnapshotsReadBackFromBothEncodings)
+TEST(ChangeLog, EntriesAndSnapshotsRoundTripInBothEncodings)
 {
   TableView view;
-  for (const ChangeEntry& entry : SomeEntries()) {
+  for (const ChangeEntry& entry : MakeEntries()) {
     CHECK(ChangeEntryFromJson(ToJson(entry)) == entry);
     CHECK(ChangeEntryFromCbor(ToCbor(entry)) == entry);
     view.Apply(entry);
@@ -127,9 +127,9 @@
   }
 }
 
-TEST(ChangeLog, MalformedTextIsNothing)
+TEST(ChangeLog, MalformedTextIsRejected)
 {
-  const std::string whole = ToJson(SomeEntries()[0]);
+  const std::string whole = ToJson(MakeEntries()[0]);
   CHECK_FALSE(ChangeEntryFromJson("").has_value());
   CHECK_FALSE(ChangeEntryFromJson("[]").has_value());
   CHECK_FALSE(ChangeEntryFromJson("{\"version\":\"x\"}").has_value());
@@ -140,11 +140,11 @@
   }
 }
 
-TEST(ChangeLog, AnyBytesAreAValueOrNothing)
+TEST(ChangeLog, AnyBytesParseOrAreRejected)
 {
   CHECK(rc::check([] {
     TableView view;
-    view.Apply(SomeEntries());
+    view.Apply(MakeEntries());
     auto bytes = ToCbor(*view.Current());
     const auto edits = *rc::gen::inRange(1, 5);
     for (int i = 0; i < edits; ++i) {
@@ -159,7 +159,7 @@
   }));
 }
 
-TEST(ChangeLog, AnyCutOfTheSequenceGivesTheSameState)
+TEST(ChangeLog, AnyBatchingOfEntriesGivesTheSameState)
 {
   CHECK(rc::check([] {
     std::vector<ChangeEntry> entries;
--- a/src/jujubehead/core/csv_reader.cpp
+++ b/src/jujubehead/core/csv_reader.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
 
-/// Gathers the library's calls into rows.
+/// Collects the callbacks of libcsv into rows.
 class Reader
 {
 public:
--- a/src/jujubehead/core/csv_reader.hpp
+++ b/src/jujubehead/core/csv_reader.hpp
@@ -14,19 +14,19 @@
 using OnCsvRow =
   std::function<void(std::size_t aLine, std::span<const std::string> aCells)>;
 
-/// @brief The text is no comma-separated values any more from this line on.
+/// @brief The text is malformed from this line on.
 struct CsvError
 {
   std::size_t line = 0;
   std::string message;
 };
 
-/// @brief Reads rows of comma-separated values; empty lines count as lines but
-/// are no rows.
+/// @brief Reads rows of comma-separated values; empty lines are counted but
+/// skipped.
 std::optional<CsvError>
 ReadCsv(std::string_view aText, const OnCsvRow& aOnRow);
 
-/// @return the cell, quoted where it has to be.
+/// @return the cell, quoted if necessary.
 std::string
 CsvCell(std::string_view aCell);
 
--- a/src/jujubehead/core/name_rule.cpp
+++ b/src/jujubehead/core/name_rule.cpp
@@ -5,10 +5,10 @@
 namespace jujubehead::core {
 namespace {
 
-constexpr std::size_t kMaxLetters = 64;
+constexpr std::size_t kMaxNameLength = 64;
 
 bool
-IsNameLetter(char aChar)
+IsNameCharacter(char aChar)
 {
   return (aChar >= 'a' && aChar <= 'z') || (aChar >= 'A' && aChar <= 'Z') ||
          (aChar >= '0' && aChar <= '9') || aChar == '-' || aChar == '_' ||
@@ -16,23 +16,23 @@
 }
 
 bool
-IsModelLetter(char aChar)
+IsModelNameCharacter(char aChar)
 {
-  return IsNameLetter(aChar) || aChar == '/' || aChar == ':';
+  return IsNameCharacter(aChar) || aChar == '/' || aChar == ':';
 }
 
 template<typename IsLetter>
 bool
 HasOnly(std::string_view aText, IsLetter aIsLetter)
 {
-  return !aText.empty() && aText.size() <= kMaxLetters &&
+  return !aText.empty() && aText.size() <= kMaxNameLength &&
          std::all_of(aText.begin(), aText.end(), aIsLetter);
 }
 
 std::string
 Rule(std::string_view aLetters)
 {
-  return "1 to " + std::to_string(kMaxLetters) + " of the letters " +
+  return "1 to " + std::to_string(kMaxNameLength) + " of the letters " +
          std::string(aLetters);
 }
 
@@ -41,7 +41,7 @@
 bool
 IsName(std::string_view aText)
 {
-  return HasOnly(aText, IsNameLetter);
+  return HasOnly(aText, IsNameCharacter);
 }
 
 std::string
@@ -53,7 +53,7 @@
 bool
 IsModelName(std::string_view aText)
 {
-  return HasOnly(aText, IsModelLetter);
+  return HasOnly(aText, IsModelNameCharacter);
 }
 
 std::string
--- a/src/jujubehead/core/table.cpp
+++ b/src/jujubehead/core/table.cpp
@@ -5,7 +5,7 @@
 #include <tuple>     // for tie
 #include <utility>   // for move
 
-#include "table_check.hpp" // for CheckTogether
+#include "table_check.hpp" // for CheckRows
 #include "table_csv.hpp"   // for ReadTableCsv, AppendCsvRow
 
 namespace jujubehead::core {
@@ -52,7 +52,7 @@
   std::span<const detail::CsvLine> m_lines;
 };
 
-/// Places by the index of rows that come from no file.
+/// Places by index, for rows that were not read from a file.
 class IndexPlaces : public detail::RowPlaces
 {
 public:
@@ -77,9 +77,9 @@
   std::vector<detail::CheckedRow> rows;
   rows.reserve(aLines.size());
   for (const detail::CsvLine& line : aLines) {
-    rows.push_back({ &line.row, line.cells_fit });
+    rows.push_back({ &line.row, line.cells_valid });
   }
-  return detail::CheckTogether(rows, CsvPlaces(aFile, aTable, aLines));
+  return detail::CheckRows(rows, CsvPlaces(aFile, aTable, aLines));
 }
 
 void
@@ -101,13 +101,13 @@
   std::vector<detail::CsvLine> lines;
   detail::CsvTable read =
     detail::ReadTableCsv(aFile, aText, [&](detail::CsvLine aLine) {
-      // A row without account or model can't be checked with others.
+      // A row without account or model can't be checked against others.
       if (aLine.has_key) {
         lines.push_back(std::move(aLine));
       }
     });
   Findings findings = std::move(read.findings);
-  if (read.header_fits) {
+  if (read.header_valid) {
     Findings together = CheckLines(aFile, read, lines);
     findings.insert(findings.end(),
                     std::make_move_iterator(together.begin()),
@@ -133,7 +133,7 @@
   for (const TableRow& row : aRows) {
     checked.push_back({ &row, true });
   }
-  Findings findings = detail::CheckTogether(checked, IndexPlaces(aFile));
+  Findings findings = detail::CheckRows(checked, IndexPlaces(aFile));
   if (!findings.empty()) {
     return findings;
   }
@@ -148,7 +148,7 @@
   for (const Row& row : m_rows) {
     checked.push_back({ row.get(), true });
   }
-  return detail::CheckTogether(checked, IndexPlaces(aFile));
+  return detail::CheckRows(checked, IndexPlaces(aFile));
 }
 
 const TableRow*
@@ -156,9 +156,9 @@
 {
   const RowSpan rows = m_rows;
   const auto found = LowerBound(rows, { aAccount, aModel });
-  const bool is_it = found != rows.end() && (*found)->account == aAccount &&
-                     (*found)->model == aModel;
-  return is_it ? found->get() : nullptr;
+  const bool is_match = found != rows.end() && (*found)->account == aAccount &&
+                        (*found)->model == aModel;
+  return is_match ? found->get() : nullptr;
 }
 
 const TableRow*
--- a/src/jujubehead/core/table_cell.cpp
+++ b/src/jujubehead/core/table_cell.cpp
@@ -140,7 +140,7 @@
 }
 
 void
-Inherit(TableRow& aRow, const TableRow& aDefaults)
+FillInherited(TableRow& aRow, const TableRow& aDefaults)
 {
   for (const TableColumn column : TableColumns()) {
     if (aRow.IsInherited(column)) {
--- a/src/jujubehead/core/table_cell.hpp
+++ b/src/jujubehead/core/table_cell.hpp
@@ -20,19 +20,19 @@
 ColumnOfName(std::string_view aName);
 
 /// @brief Writes a cell's text into the row; empty marks it as inherited.
-/// @return what was expected, when the text is not that.
+/// @return the expected format if the text is invalid, otherwise nothing.
 std::optional<std::string>
 ParseCell(TableRow& aRow, TableColumn aColumn, std::string_view aText);
 
-/// @brief Gives the row's inherited cells the values of another row.
+/// @brief Copies the row's inherited cells from another row.
 void
-Inherit(TableRow& aRow, const TableRow& aDefaults);
+FillInherited(TableRow& aRow, const TableRow& aDefaults);
 
 /// @return whether both rows have the same cell as written.
 bool
 SameCell(const TableRow& aLeft, const TableRow& aRight, TableColumn aColumn);
 
-/// An account's cell that takes no adapter, also when the model has one.
+/// Adapter cell of an account that uses none, even if the model has one.
 inline constexpr std::string_view kNoAdapter = "-";
 
 /// The greatest sum of the weights of a model's accounts.
--- a/src/jujubehead/core/table_change.cpp
+++ b/src/jujubehead/core/table_change.cpp
@@ -25,7 +25,7 @@
   return { aKey.account.View(), aKey.model.View() };
 }
 
-/// What becomes of a single row; null: it is taken out.
+/// The new state of a single row; null: removed.
 struct Edit
 {
   Key key;
@@ -38,7 +38,7 @@
   return aLeft.key < aRight.key;
 }
 
-/// @return the edits in order; of several to one row, the last.
+/// @return the edits in key order; of several to one row, the last.
 std::vector<Edit>
 EditsOf(std::vector<Row> aPut, std::span<const TableRowKey> aRemoved)
 {
@@ -60,7 +60,7 @@
   return edits;
 }
 
-/// Puts the edits among the rows, both in order.
+/// Merges the edits into the rows, both in key order.
 std::vector<Row>
 Merge(std::span<const Row> aRows, std::span<const Edit> aEdits)
 {
@@ -90,17 +90,17 @@
 Filled(const Row& aRow, const TableRow& aDefaults)
 {
   TableRow filled = *aRow;
-  detail::Inherit(filled, aDefaults);
+  detail::FillInherited(filled, aDefaults);
   return filled == *aRow ? aRow
                          : std::make_shared<const TableRow>(std::move(filled));
 }
 
 /// Fills the inherited cells of edited rows, and of all rows of a model whose
 /// `*` row was edited.
-class Filler
+class InheritedCellFiller
 {
 public:
-  Filler(std::vector<Row>& aRows, std::span<const Edit> aEdits)
+  InheritedCellFiller(std::vector<Row>& aRows, std::span<const Edit> aEdits)
     : m_rows(aRows)
     , m_edits(aEdits)
   {
@@ -141,8 +141,8 @@
                        [](const Row& aRow, const Key& aWanted) {
                          return KeyOf(*aRow) < aWanted;
                        });
-    const bool is_it = found != m_rows.end() && KeyOf(**found) == aKey;
-    return is_it ? found : m_rows.end();
+    const bool is_match = found != m_rows.end() && KeyOf(**found) == aKey;
+    return is_match ? found : m_rows.end();
   }
 
   void Fill(Row& aRow)
@@ -168,7 +168,7 @@
   const std::vector<Edit> edits = EditsOf(std::move(aPut), aRemoved);
   Table table;
   table.m_rows = Merge(m_rows, edits);
-  Filler(table.m_rows, edits).Run();
+  InheritedCellFiller(table.m_rows, edits).Run();
   return table;
 }
 
--- a/src/jujubehead/core/table_check.cpp
+++ b/src/jujubehead/core/table_check.cpp
@@ -80,7 +80,7 @@
 
   void CheckModelRow(std::size_t aIndex)
   {
-    if (!m_rows[aIndex].cells_fit) {
+    if (!m_rows[aIndex].cells_valid) {
       return;
     }
     const TableRow& row = Row(aIndex);
@@ -118,12 +118,12 @@
           "a row '*," + row.model.Text() + ",...' with the model's limits");
       return;
     }
-    if (!m_rows[aIndex].cells_fit) {
+    if (!m_rows[aIndex].cells_valid) {
       return;
     }
     CheckVersions(aIndex);
     CheckKey(aIndex);
-    if (!m_rows[model->second].cells_fit) {
+    if (!m_rows[model->second].cells_valid) {
       return;
     }
     CheckLimit(aIndex, Row(model->second));
@@ -222,7 +222,7 @@
 } // namespace
 
 Findings
-CheckTogether(std::span<const CheckedRow> aRows, const RowPlaces& aPlaces)
+CheckRows(std::span<const CheckedRow> aRows, const RowPlaces& aPlaces)
 {
   return Checker(aRows, aPlaces).Run();
 }
--- a/src/jujubehead/core/table_check.hpp
+++ b/src/jujubehead/core/table_check.hpp
@@ -8,7 +8,7 @@
 
 namespace jujubehead::core::detail {
 
-/// @brief Where the cells of a row stand in what was read.
+/// @brief Maps cells of checked rows to their places in the input.
 class RowPlaces
 {
 public:
@@ -18,18 +18,18 @@
                                  TableColumn aColumn) const = 0;
 };
 
-/// @brief A row to check; `model_defaults` is the `*` row's index.
+/// @brief A row to check.
 struct CheckedRow
 {
   const TableRow* row = nullptr;
-  bool cells_fit = true; ///< False: only account and model are known.
+  bool cells_valid = true; ///< False: only account and model are known.
 };
 
-/// @brief Finds what is wrong with rows taken together: duplicates, accounts
-/// without model, values beyond the model's.
+/// @brief Checks rows against each other: duplicates, accounts whose model has
+/// no row, values above the model's limits.
 /// @param aRows in any order; inherited cells need not be filled.
 Findings
-CheckTogether(std::span<const CheckedRow> aRows, const RowPlaces& aPlaces);
+CheckRows(std::span<const CheckedRow> aRows, const RowPlaces& aPlaces);
 
 } // namespace jujubehead::core::detail
 
--- a/src/jujubehead/core/table_csv.cpp
+++ b/src/jujubehead/core/table_csv.cpp
@@ -45,10 +45,10 @@
           0,
           "not comma-separated values: " + error->message,
           "quotes around a whole cell only, and doubled inside it");
-      m_table.header_fits = false;
+      m_table.header_valid = false;
     } else if (!m_has_header) {
       Add(1, 0, "the table is empty", "a first line " + AllColumnNames());
-      m_table.header_fits = false;
+      m_table.header_valid = false;
     }
     return std::move(m_table);
   }
@@ -69,7 +69,7 @@
                  std::string aMessage,
                  std::string aExpected)
   {
-    m_table.header_fits = false;
+    m_table.header_valid = false;
     Add(aLine, aColumn, std::move(aMessage), std::move(aExpected));
   }
 
@@ -123,7 +123,7 @@
     }
     CsvLine line;
     line.line = aLine;
-    line.cells_fit = aCells.size() == m_columns.size();
+    line.cells_valid = aCells.size() == m_columns.size();
     for (const TableColumn column : TableColumns()) {
       ReadCell(line, column, aCells);
     }
@@ -147,7 +147,7 @@
           position,
           std::string(ColumnName(aColumn)) + " is '" + text + "'",
           std::move(*expected));
-      aLine.cells_fit = false;
+      aLine.cells_valid = false;
       aLine.has_key = aLine.has_key && !is_key;
     }
   }
--- a/src/jujubehead/core/table_csv.hpp
+++ b/src/jujubehead/core/table_csv.hpp
@@ -15,29 +15,29 @@
 {
   TableRow row;
   std::size_t line = 0;
-  bool has_key = true;   ///< Account and model could be read.
-  bool cells_fit = true; ///< All cells could be read.
+  bool has_key = true;     ///< Account and model could be read.
+  bool cells_valid = true; ///< All cells could be read.
 };
 
-/// Takes rows as they are read, so that not all are held twice.
+/// Receives rows one by one, so that they are not all in memory twice.
 using OnCsvLine = std::function<void(CsvLine aLine)>;
 
-/// @brief What was read beside the rows.
+/// @brief The result of reading, apart from the rows.
 struct CsvTable
 {
   /// Position of each column in the file, from 1; 0: it is missing.
   std::array<std::size_t, kTableColumnCount> positions{};
-  bool header_fits = true;
+  bool header_valid = true;
   Findings findings; ///< About single cells.
 };
 
-/// @brief Reads cells; checks nothing that takes more than one row.
+/// @brief Parses and checks single cells; nothing across rows.
 CsvTable
 ReadTableCsv(std::string_view aFile,
              std::string_view aText,
              const OnCsvLine& aOnLine);
 
-/// @return the first line of a table, with its end.
+/// @return the header line, with the line break.
 std::string
 CsvHeader();
 
--- a/src/jujubehead/core/table_follower.cpp
+++ b/src/jujubehead/core/table_follower.cpp
@@ -19,29 +19,30 @@
 TableFollower::Next(Instant aNow)
 {
   UpdateReadiness(aNow);
-  if (m_out == Out::kPeer && aNow - m_out_since >= m_options.peer_timeout) {
-    OnPeerFailed(aNow, m_asked);
+  if (m_pending == PendingStep::kPeer &&
+      aNow - m_pending_since >= m_options.peer_timeout) {
+    OnPeerFailed(aNow, m_pending_peer);
   }
-  if (m_out != Out::kNothing) {
-    return FollowIdle{ m_out == Out::kPeer
-                         ? m_out_since + m_options.peer_timeout
+  if (m_pending != PendingStep::kNothing) {
+    return FollowIdle{ m_pending == PendingStep::kPeer
+                         ? m_pending_since + m_options.peer_timeout
                          : aNow + m_options.poll_interval };
   }
-  // A peer has a newer version than the service lets us read.
+  // While the service is unavailable, a peer may have a newer version.
   if (m_service_failures != 0) {
     if (const auto peer = NewestPeer(aNow)) {
-      return Ask(aNow, *peer);
+      return RequestSnapshot(aNow, *peer);
     }
   }
-  if (aNow < m_next) {
-    return FollowIdle{ m_next };
+  if (aNow < m_next_poll_at) {
+    return FollowIdle{ m_next_poll_at };
   }
-  m_out_since = aNow;
-  if (m_wants_snapshot) {
-    m_out = Out::kSnapshot;
+  m_pending_since = aNow;
+  if (m_needs_snapshot) {
+    m_pending = PendingStep::kSnapshot;
     return FollowSnapshot{};
   }
-  m_out = Out::kEntries;
+  m_pending = PendingStep::kEntries;
   return FollowEntries{ m_view.Version() };
 }
 
@@ -52,19 +53,19 @@
 {
   m_service_failures = 0;
   m_failing_since.reset();
-  m_why.clear();
+  m_service_error.clear();
   if (!aEntries.empty()) {
-    m_shown = std::max(m_shown, aEntries.back().version);
+    m_newest_reported = std::max(m_newest_reported, aEntries.back().version);
   }
   const bool gap = m_view.Apply(aEntries) == Applied::kGap;
-  m_wants_snapshot = gap;
+  m_needs_snapshot = gap;
   const bool at_head = aAtHead && !gap;
   if (at_head) {
     m_read_to_head = true;
-    m_newest_at = aNow;
+    m_up_to_date_at = aNow;
   }
   UpdateReadiness(aNow);
-  Finish(aNow, NextAfterEntries(gap, at_head));
+  Complete(aNow, NextAfterEntries(gap, at_head));
 }
 
 void
@@ -72,11 +73,11 @@
                                 std::optional<TableSnapshot> aSnapshot)
 {
   if (aSnapshot) {
-    m_shown = std::max(m_shown, aSnapshot->version);
+    m_newest_reported = std::max(m_newest_reported, aSnapshot->version);
     m_view.Replace(std::move(*aSnapshot));
   }
-  m_wants_snapshot = false;
-  Finish(aNow, Duration(0));
+  m_needs_snapshot = false;
+  Complete(aNow, Duration(0));
 }
 
 void
@@ -84,11 +85,11 @@
 {
   ++m_service_failures;
   m_failing_since = m_failing_since.value_or(aNow);
-  m_why = std::move(aWhy);
-  // The entries may be enough, or a peer.
-  m_wants_snapshot = false;
+  m_service_error = std::move(aWhy);
+  // The entries or a peer's snapshot may suffice.
+  m_needs_snapshot = false;
   UpdateReadiness(aNow);
-  Finish(aNow, Backoff());
+  Complete(aNow, Backoff());
 }
 
 void
@@ -104,32 +105,32 @@
   m_has_peer_snapshot = true;
   m_view.Replace(std::move(*aSnapshot));
   UpdateReadiness(aNow);
-  if (m_out == Out::kPeer && aPeer == m_asked) {
-    m_out = Out::kNothing;
+  if (m_pending == PendingStep::kPeer && aPeer == m_pending_peer) {
+    m_pending = PendingStep::kNothing;
   }
 }
 
 void
 TableFollower::OnPeerFailed(Instant aNow, const InstanceId& aPeer)
 {
-  m_not_before[aPeer] = aNow + m_options.max_backoff;
-  if (m_out == Out::kPeer && aPeer == m_asked) {
-    m_out = Out::kNothing;
+  m_retry_after[aPeer] = aNow + m_options.max_backoff;
+  if (m_pending == PendingStep::kPeer && aPeer == m_pending_peer) {
+    m_pending = PendingStep::kNothing;
   }
 }
 
 void
 TableFollower::OnPeerVersion(const InstanceId& aPeer, std::uint64_t aVersion)
 {
-  m_peers[aPeer] = aVersion;
-  m_shown = std::max(m_shown, aVersion);
+  m_peer_versions[aPeer] = aVersion;
+  m_newest_reported = std::max(m_newest_reported, aVersion);
 }
 
 void
-TableFollower::OnPeerGone(const InstanceId& aPeer)
+TableFollower::OnPeerRemoved(const InstanceId& aPeer)
 {
-  m_peers.erase(aPeer);
-  m_not_before.erase(aPeer);
+  m_peer_versions.erase(aPeer);
+  m_retry_after.erase(aPeer);
 }
 
 std::optional<std::string>
@@ -140,14 +141,15 @@
   }
   std::string why =
     "the table is at version " + std::to_string(m_view.Version());
-  if (m_shown > m_view.Version()) {
-    why += ", version " + std::to_string(m_shown) + " has been shown";
+  if (m_newest_reported > m_view.Version()) {
+    why += ", version " + std::to_string(m_newest_reported) + " was reported";
   }
   if (m_service_failures != 0) {
-    why += ", the service failed: " + m_why;
-    why += m_peers.empty() ? ", no peer is known" : ", waiting for a peer's";
+    why += ", the table service failed: " + m_service_error;
+    why += m_peer_versions.empty() ? ", no peer is known"
+                                   : ", waiting for a peer's snapshot";
   } else {
-    why += ", still reading";
+    why += ", still reading entries";
   }
   return why;
 }
@@ -155,7 +157,7 @@
 Duration
 TableFollower::Age(Instant aNow) const
 {
-  return m_newest_at ? aNow - *m_newest_at : Duration::max();
+  return m_up_to_date_at ? aNow - *m_up_to_date_at : Duration::max();
 }
 
 std::optional<InstanceId>
@@ -164,36 +166,40 @@
   const bool needs_any = !m_ready && !m_has_peer_snapshot;
   std::optional<InstanceId> newest;
   std::uint64_t version = m_view.Version();
-  for (const auto& [peer, shown] : m_peers) {
-    const auto failed = m_not_before.find(peer);
-    const bool may_ask = failed == m_not_before.end() || failed->second <= aNow;
-    const bool helps = shown > version ||
-                       (needs_any && !newest && shown == version && shown != 0);
+  for (const auto& [peer, reported] : m_peer_versions) {
+    const auto failed = m_retry_after.find(peer);
+    const bool may_ask =
+      failed == m_retry_after.end() || failed->second <= aNow;
+    const bool helps =
+      reported > version ||
+      (needs_any && !newest && reported == version && reported != 0);
     if (may_ask && helps) {
       newest = peer;
-      version = shown;
+      version = reported;
     }
   }
   return newest;
 }
 
 FollowStep
-TableFollower::Ask(Instant aNow, const InstanceId& aPeer)
+TableFollower::RequestSnapshot(Instant aNow, const InstanceId& aPeer)
 {
-  m_out = Out::kPeer;
-  m_out_since = aNow;
-  m_asked = aPeer;
+  m_pending = PendingStep::kPeer;
+  m_pending_since = aNow;
+  m_pending_peer = aPeer;
   return FollowPeer{ aPeer };
 }
 
 void
-TableFollower::Finish(Instant aNow, Duration aNext)
+TableFollower::Complete(Instant aNow, Duration aNext)
 {
-  m_out = Out::kNothing;
-  m_next = aNow + aNext;
+  m_pending = PendingStep::kNothing;
+  m_next_poll_at = aNow + aNext;
   if (aNext == m_options.poll_interval) {
-    // Peers that started together drift apart once, by their own part.
-    m_next -= std::chrono::duration_cast<Duration>(aNext * m_options.jitter);
+    // Applied once, so that instances that started together poll at different
+    // times.
+    m_next_poll_at -=
+      std::chrono::duration_cast<Duration>(aNext * m_options.jitter);
     m_options.jitter = 0;
   }
 }
@@ -201,12 +207,12 @@
 void
 TableFollower::UpdateReadiness(Instant aNow)
 {
-  // A wait, so that peers with newer versions can show them.
+  // Gives peers with newer versions the time to report them.
   const bool may_trust_peers =
     m_failing_since && aNow - *m_failing_since >= m_options.peer_timeout;
   const bool has_source =
     m_read_to_head || (may_trust_peers && m_has_peer_snapshot);
-  m_ready = m_ready || (has_source && m_view.Version() >= m_shown);
+  m_ready = m_ready || (has_source && m_view.Version() >= m_newest_reported);
 }
 
 Duration
--- a/src/jujubehead/core/table_follower_test.cpp
+++ b/src/jujubehead/core/table_follower_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-const InstanceId kOld("old");
-const InstanceId kNew("new");
+const InstanceId kOldPeer("old");
+const InstanceId kNewPeer("new");
 
 std::vector<ChangeEntry>
 Entries(std::uint64_t aFirst, std::uint64_t aLast)
@@ -30,13 +30,14 @@
   return *view.Current();
 }
 
-/// A follower to which anything happens.
-class AnyFollower
+/// Feeds a follower random events and checks its guarantees after each.
+class RandomFollower
 {
 public:
-  /// @param aIsDeaf breaks it: it does not hear what versions peers have.
-  explicit AnyFollower(bool aIsDeaf)
-    : m_is_deaf(aIsDeaf)
+  /// @param aIgnoresPeers withholds the peers' versions from the follower, as a
+  /// fault.
+  explicit RandomFollower(bool aIgnoresPeers)
+    : m_ignores_peers(aIgnoresPeers)
   {
   }
 
@@ -65,11 +66,11 @@
     } else if (!std::holds_alternative<FollowIdle>(aStep)) {
       m_follower.OnServiceFailed(m_now, "down");
     } else {
-      const InstanceId peer = *rc::gen::element(kOld, kNew);
-      if (!m_is_deaf) {
+      const InstanceId peer = *rc::gen::element(kOldPeer, kNewPeer);
+      if (!m_ignores_peers) {
         m_follower.OnPeerVersion(peer, aUpTo);
       }
-      Show(aUpTo);
+      RecordReported(aUpTo);
     }
   }
 
@@ -78,38 +79,41 @@
     if (const auto* entries = std::get_if<FollowEntries>(&aStep)) {
       const auto first =
         *rc::gen::inRange<std::uint64_t>(1, entries->after + 2);
-      // A read may be stale, and then takes an older version for the head.
+      // A stale read may report an older version as the head.
       const bool at_head = aUpTo == m_head || *rc::gen::inRange(0, 4) == 0;
       m_follower.OnEntries(m_now, Entries(first, aUpTo), at_head);
-      Show(aUpTo < first ? 0 : aUpTo);
+      RecordReported(aUpTo < first ? 0 : aUpTo);
     } else if (std::holds_alternative<FollowSnapshot>(aStep)) {
       m_follower.OnStoredSnapshot(m_now, Snapshot(aUpTo));
-      Show(aUpTo);
+      RecordReported(aUpTo);
     } else if (const auto* ask = std::get_if<FollowPeer>(&aStep)) {
       m_follower.OnPeerSnapshot(m_now, ask->peer, Snapshot(aUpTo));
-      Show(aUpTo);
+      RecordReported(aUpTo);
     }
   }
 
-  void Show(std::uint64_t aVersion) { m_shown = std::max(m_shown, aVersion); }
+  void RecordReported(std::uint64_t aVersion)
+  {
+    m_newest_reported = std::max(m_newest_reported, aVersion);
+  }
 
   void Check()
   {
     const std::uint64_t version = m_follower.View().Version();
     const bool ready = !m_follower.NotReady().has_value();
     m_holds = m_holds && version >= m_version && (ready || !m_was_ready) &&
-              (m_was_ready || !ready || version >= m_shown);
+              (m_was_ready || !ready || version >= m_newest_reported);
     m_version = version;
     m_was_ready = ready;
   }
 
-  bool m_is_deaf;
+  bool m_ignores_peers;
   bool m_holds = true;
   TableFollower m_follower{ {} };
   Instant m_now{ 1h };
   std::uint64_t m_head = 1;
   std::uint64_t m_version = 0;
-  std::uint64_t m_shown = 0;
+  std::uint64_t m_newest_reported = 0;
   bool m_was_ready = false;
 };
 
@@ -156,12 +160,12 @@
   CHECK(Wants<FollowEntries>());
 }
 
-TEST(TableFollower, IsNotReadyBelowWhatAPeerHasShown)
+TEST(TableFollower, IsNotReadyBelowAVersionThatAPeerReported)
 {
-  follower.OnPeerVersion(kNew, 7);
+  follower.OnPeerVersion(kNewPeer, 7);
   Start(6);
-  CHECK_EQUAL(std::string("the table is at version 6, version 7 has been "
-                          "shown, still reading"),
+  CHECK_EQUAL(std::string("the table is at version 6, version 7 was "
+                          "reported, still reading entries"),
               *follower.NotReady());
   now += 1s;
   CHECK(Wants<FollowEntries>());
@@ -186,46 +190,47 @@
 TEST(TableFollower, WithTheServiceDownItStartsFromItsNewestPeer)
 {
   FailService();
-  CHECK_EQUAL(std::string("the table is at version 0, the service failed: "
-                          "down, no peer is known"),
+  CHECK_EQUAL(std::string("the table is at version 0, the table service "
+                          "failed: down, no peer is known"),
               *follower.NotReady());
-  follower.OnPeerVersion(kOld, 4);
-  follower.OnPeerVersion(kNew, 6);
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNew);
-  follower.OnPeerSnapshot(now, kNew, Snapshot(6));
-  CHECK(follower.NotReady().has_value()); // Others may yet show a newer one.
+  follower.OnPeerVersion(kOldPeer, 4);
+  follower.OnPeerVersion(kNewPeer, 6);
+  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
+  follower.OnPeerSnapshot(now, kNewPeer, Snapshot(6));
+  // Another peer may report a newer version.
+  CHECK(follower.NotReady().has_value());
   now += 3s;
   follower.Next(now);
   CHECK_FALSE(follower.NotReady().has_value());
   CHECK_EQUAL(6U, follower.View().Version());
 }
 
-TEST(TableFollower, APeerThatFailsIsNotAskedAgainAtOnce)
+TEST(TableFollower, AFailedPeerIsNotRetriedAtOnce)
 {
   FailService();
-  follower.OnPeerVersion(kOld, 4);
-  follower.OnPeerVersion(kNew, 6);
+  follower.OnPeerVersion(kOldPeer, 4);
+  follower.OnPeerVersion(kNewPeer, 6);
   CHECK(Wants<FollowPeer>());
-  now += 3s; // It takes too long.
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kOld);
-  follower.OnPeerSnapshot(now, kOld, Snapshot(4));
+  now += 3s; // The peer timeout.
+  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kOldPeer);
+  follower.OnPeerSnapshot(now, kOldPeer, Snapshot(4));
   follower.Next(now);
-  CHECK(follower.NotReady().has_value()); // Version 6 has been shown.
+  CHECK(follower.NotReady().has_value()); // Version 6 was reported.
   now += 4s;
   follower.Next(now);
   follower.OnServiceFailed(now, "down");
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNew);
+  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
 }
 
-TEST(TableFollower, AReadyInstanceStaysReadyAndLearnsFromPeersInAnOutage)
+TEST(TableFollower, AReadyInstanceStaysReadyAndFollowsPeersInAnOutage)
 {
   Start(3);
   now += 1s;
   FailService();
   CHECK_FALSE(follower.NotReady().has_value());
-  follower.OnPeerVersion(kNew, 4);
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNew);
-  follower.OnPeerSnapshot(now, kNew, Snapshot(4));
+  follower.OnPeerVersion(kNewPeer, 4);
+  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
+  follower.OnPeerSnapshot(now, kNewPeer, Snapshot(4));
   CHECK_EQUAL(4U, follower.View().Version());
   CHECK(follower.Age(now) == 1s);
 }
@@ -244,26 +249,26 @@
   CHECK(last == TableFollowerOptions().max_backoff);
 }
 
-TEST(TableFollower, WhateverArrivesItNeverGoesBackOrServesWhatIsOld)
+TEST(TableFollower, NeverGoesBackOrServesAnOldVersion)
 {
   CHECK(rc::check([] {
-    AnyFollower any(false);
+    RandomFollower subject(false);
     for (int i = 0; i < 60; ++i) {
-      any.Advance();
+      subject.Advance();
     }
-    RC_ASSERT(any.Holds());
+    RC_ASSERT(subject.Holds());
   }));
 }
 
-TEST(TableFollower, TheSameRunCatchesOneThatDoesNotHearItsPeers)
+TEST(TableFollower, RandomRunsDetectIgnoredPeerVersions)
 {
   bool caught = false;
   CHECK(rc::check([&] {
-    AnyFollower deaf(true);
+    RandomFollower faulty(true);
     for (int i = 0; i < 60; ++i) {
-      deaf.Advance();
+      faulty.Advance();
     }
-    caught = caught || !deaf.Holds();
+    caught = caught || !faulty.Holds();
   }));
   CHECK(caught);
 }
--- a/src/jujubehead/core/table_publish.cpp
+++ b/src/jujubehead/core/table_publish.cpp
@@ -9,7 +9,7 @@
 
 constexpr unsigned kMaxFailures = 8;
 
-struct HoldsIn
+struct InEffectVisitor
 {
   const TableSnapshot& snapshot;
 
@@ -55,7 +55,7 @@
 bool
 Holds(const TableSnapshot& aSnapshot, const Change& aChange)
 {
-  return std::visit(HoldsIn{ aSnapshot }, aChange);
+  return std::visit(InEffectVisitor{ aSnapshot }, aChange);
 }
 
 std::vector<Change>
@@ -102,13 +102,13 @@
     }
     PublishStep operator()(const HeadMoved& /*aMoved*/) const
     {
-      // An earlier try of the same write may be what moved the head: the next
-      // read tells by the token.
-      return self.OnFailure("others keep changing the table");
+      // An earlier attempt of the same write may have moved the head; the next
+      // read finds it by the token.
+      return self.OnFailure("the table keeps changing concurrently");
     }
     PublishStep operator()(const CommitUnknown& aUnknown) const
     {
-      self.m_unsettled = self.m_view.Version() + 1;
+      self.m_unresolved_version = self.m_view.Version() + 1;
       return self.OnFailure(aUnknown.why);
     }
     PublishStep operator()(const Unavailable& aUnavailable) const
@@ -128,7 +128,7 @@
 {
   ++m_failures;
   if (m_failures >= kMaxFailures) {
-    return GaveUp{ std::move(aWhy), m_unsettled != 0 };
+    return GaveUp{ std::move(aWhy), m_unresolved_version != 0 };
   }
   return WaitAWhile{ m_failures };
 }
@@ -141,38 +141,39 @@
     if (applied == Applied::kGap) {
       return GaveUp{ "the entries after version " +
                        std::to_string(m_view.Version()) +
-                       " are gone; start from what is in force now",
-                     m_unsettled != 0 };
+                       " were deleted; start again from the current table",
+                     m_unresolved_version != 0 };
     }
     if (applied == Applied::kInForce) {
       m_failures = 0;
-      TakeIn(entry);
+      RecordEntry(entry);
     }
   }
-  if (m_own_version != 0) {
-    return Published{ m_own_version };
+  if (m_committed_version != 0) {
+    return Published{ m_committed_version };
   }
   return aRead.at_head ? AtHead() : Start();
 }
 
 void
-TablePublish::TakeIn(const ChangeEntry& aEntry)
+TablePublish::RecordEntry(const ChangeEntry& aEntry)
 {
   if (aEntry.token == m_token) {
-    m_own_version = aEntry.version;
+    m_committed_version = aEntry.version;
     return;
   }
-  if (aEntry.version >= m_unsettled) {
-    m_unsettled = 0; // Another took the one place that the write could take.
+  if (aEntry.version >= m_unresolved_version) {
+    m_unresolved_version =
+      0; // The only version that the write could take is used.
   }
   for (const Change& change : aEntry.changes) {
     std::string subject = ChangeSubject(change);
-    m_touched[subject] = { subject, aEntry.version, aEntry.author };
+    m_concurrent_changes[subject] = { subject, aEntry.version, aEntry.author };
   }
 }
 
 std::vector<Change>
-TablePublish::Missing() const
+TablePublish::PendingChanges() const
 {
   std::vector<Change> missing;
   for (const Change& change : m_changes) {
@@ -187,9 +188,9 @@
 TablePublish::Conflicts() const
 {
   std::vector<ChangeConflict> conflicts;
-  for (const Change& change : Missing()) {
-    const auto touched = m_touched.find(ChangeSubject(change));
-    if (touched != m_touched.end()) {
+  for (const Change& change : PendingChanges()) {
+    const auto touched = m_concurrent_changes.find(ChangeSubject(change));
+    if (touched != m_concurrent_changes.end()) {
       conflicts.push_back(touched->second);
     }
   }
@@ -199,7 +200,9 @@
 PublishStep
 TablePublish::AtHead()
 {
-  ChangeEntry entry{ m_view.Version() + 1, m_token, m_author, Missing() };
+  ChangeEntry entry{
+    m_view.Version() + 1, m_token, m_author, PendingChanges()
+  };
   if (entry.changes.empty()) {
     return AlreadyInForce{ m_view.Version() };
   }
--- a/src/jujubehead/core/table_publish_test.cpp
+++ b/src/jujubehead/core/table_publish_test.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kRows = 4;
 
 TableRow
-SomeRow(std::size_t aIndex, std::uint32_t aValue)
+MakeRow(std::size_t aIndex, std::uint32_t aValue)
 {
   TableRow row;
   row.account = AccountId(aIndex == 0 ? "*" : "a" + std::to_string(aIndex));
@@ -25,7 +25,7 @@
   return row;
 }
 
-/// The log behind the service, with writes that are still on their way.
+/// The log of the table service, with writes that are still in flight.
 struct FakeLog
 {
   std::vector<ChangeEntry> entries;
@@ -62,12 +62,12 @@
   }
 };
 
-/// Ways to run the publisher's steps; all but the first are wrong.
+/// Ways to run the publisher's steps; all but the first have a fault.
 enum class Variant
 {
   kRight,
-  kBlind,     ///< Does not see what others' entries touched.
-  kForgetful, ///< Takes a lost answer for a failure and starts anew.
+  kIgnoresChanges,       ///< Ignores the changes of others' entries.
+  kIgnoresUnknownCommit, ///< Treats a lost answer as a failure, starts anew.
 };
 
 /// One operator with one set of changes.
@@ -105,7 +105,7 @@
     } else if (const auto* commit = std::get_if<CommitEntry>(&m_step)) {
       answer = Commit(aLog, commit->entry);
     }
-    if (m_variant == Variant::kForgetful &&
+    if (m_variant == Variant::kIgnoresUnknownCommit &&
         std::holds_alternative<CommitUnknown>(answer)) {
       m_publish = TablePublish(
         aLog.View(aLog.entries.size()), m_changes, m_name + "+", m_name);
@@ -127,7 +127,8 @@
     EntriesRead read;
     for (std::size_t i = aAfter; i < end; ++i) {
       read.entries.push_back(aLog.entries[i]);
-      if (m_variant == Variant::kBlind && aLog.entries[i].author != m_name) {
+      if (m_variant == Variant::kIgnoresChanges &&
+          aLog.entries[i].author != m_name) {
         read.entries.back().changes.clear();
       }
     }
@@ -142,7 +143,7 @@
       case 0:
         return Unavailable{ "throttled" };
       case 1:
-        return CommitUnknown{ "lost on the way" };
+        return CommitUnknown{ "request lost" };
       case 2:
         aLog.delayed.push_back(aEntry);
         return CommitUnknown{ "late" };
@@ -150,7 +151,7 @@
         aLog.Write(aEntry);
         return CommitUnknown{ "the answer was lost" };
       case 4:
-        // Tokens are forgotten after a while.
+        // The service forgets tokens after a while.
         return aLog.Write(aEntry) ? PublishAnswer(CommitDone{}) : HeadMoved{};
       default:
         return repeated || aLog.Write(aEntry) ? PublishAnswer(CommitDone{})
@@ -167,15 +168,15 @@
 };
 
 std::vector<Change>
-SomeChanges(std::uint32_t aValue)
+RandomChanges(std::uint32_t aValue)
 {
   std::vector<Change> changes;
   for (std::size_t row = 0; row < kRows; ++row) {
     const int kind = *rc::gen::inRange(0, 5);
     if (kind == 0 && row != 0) {
-      changes.emplace_back(RemoveRow{ SomeRow(row, 1).account, ModelId("m") });
+      changes.emplace_back(RemoveRow{ MakeRow(row, 1).account, ModelId("m") });
     } else if (kind <= 2) {
-      changes.emplace_back(PutRow{ SomeRow(row, aValue) });
+      changes.emplace_back(PutRow{ MakeRow(row, aValue) });
     }
   }
   if (changes.empty()) {
@@ -194,9 +195,9 @@
   return subjects;
 }
 
-/// Nobody who is in the log overwrote what another changed since their base.
+/// No entry overwrites what another operator changed since the entry's base.
 bool
-NobodyOverwrote(const FakeLog& aLog, const std::vector<Operator>& aOperators)
+NoOverwrites(const FakeLog& aLog, const std::vector<Operator>& aOperators)
 {
   for (const Operator& one : aOperators) {
     for (const ChangeEntry& own : aLog.entries) {
@@ -216,9 +217,9 @@
   return true;
 }
 
-/// What an operator was told is what the log says.
+/// The result that an operator received agrees with the log.
 bool
-ToldTheTruth(const FakeLog& aLog, const Operator& aOperator)
+ResultMatchesLog(const FakeLog& aLog, const Operator& aOperator)
 {
   const std::size_t count = aLog.Count(aOperator.Name());
   const PublishStep& result = aOperator.Result();
@@ -232,12 +233,12 @@
   return count == 0;
 }
 
-/// One run of operators against each other. @return whether all rules held.
+/// One run of concurrent operators. @return whether all invariants held.
 bool
-RaceHolds(Variant aVariant)
+InvariantsHold(Variant aVariant)
 {
   FakeLog log;
-  log.Write({ 1, "first", "first", { PutRow{ SomeRow(0, 1) } } });
+  log.Write({ 1, "first", "first", { PutRow{ MakeRow(0, 1) } } });
   std::vector<Operator> operators;
   const auto steps = *rc::gen::inRange(10, 120);
   for (int i = 0; i < steps; ++i) {
@@ -245,7 +246,7 @@
     if (pick >= operators.size()) {
       const auto number = static_cast<std::uint32_t>(operators.size() + 2);
       operators.emplace_back(
-        log, "op" + std::to_string(number), SomeChanges(number), aVariant);
+        log, "op" + std::to_string(number), RandomChanges(number), aVariant);
     } else if (!operators[pick].IsOver()) {
       operators[pick].Step(log);
     }
@@ -256,10 +257,10 @@
   while (!log.delayed.empty()) {
     log.WriteDelayed(0);
   }
-  bool holds = NobodyOverwrote(log, operators);
+  bool holds = NoOverwrites(log, operators);
   for (const Operator& one : operators) {
     holds = holds && log.Count(one.Name()) <= 1 &&
-            (!one.IsOver() || ToldTheTruth(log, one));
+            (!one.IsOver() || ResultMatchesLog(log, one));
   }
   for (std::size_t version = 0; version <= log.entries.size(); ++version) {
     holds = holds && log.View(version).Current()->table.Check("t").empty();
@@ -267,12 +268,12 @@
   return holds;
 }
 
-/// @return whether some of many runs breaks a rule.
+/// @return whether any of many runs violates an invariant.
 bool
-SomeRunBreaks(Variant aVariant)
+AnyRunViolatesInvariants(Variant aVariant)
 {
   bool broke = false;
-  CHECK(rc::check([&] { broke = broke || !RaceHolds(aVariant); }));
+  CHECK(rc::check([&] { broke = broke || !InvariantsHold(aVariant); }));
   return broke;
 }
 
@@ -291,7 +292,7 @@
   TableView base;
   void setup() override
   {
-    base.Apply(EntryOf(1, { PutRow{ SomeRow(0, 1) } }));
+    base.Apply(EntryOf(1, { PutRow{ MakeRow(0, 1) } }));
   }
   TablePublish Publish(std::vector<Change> aChanges) const
   {
@@ -301,9 +302,9 @@
 
 TEST(TablePublish, RebasesOverOtherRows)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const auto step = publish.On(
-    EntriesRead{ { EntryOf(2, { PutRow{ SomeRow(2, 2) } }) }, true });
+    EntriesRead{ { EntryOf(2, { PutRow{ MakeRow(2, 2) } }) }, true });
   const auto& commit = std::get<CommitEntry>(step);
   CHECK_EQUAL(3U, commit.entry.version);
   CHECK_EQUAL(3U, std::get<Published>(publish.On(CommitDone{})).version);
@@ -312,9 +313,9 @@
 TEST(TablePublish, NamesTheRowsThatOthersChanged)
 {
   TablePublish publish =
-    Publish({ PutRow{ SomeRow(1, 2) }, PutRow{ SomeRow(2, 2) } });
+    Publish({ PutRow{ MakeRow(1, 2) }, PutRow{ MakeRow(2, 2) } });
   const auto step = publish.On(
-    EntriesRead{ { EntryOf(2, { PutRow{ SomeRow(2, 7) } }) }, true });
+    EntriesRead{ { EntryOf(2, { PutRow{ MakeRow(2, 7) } }) }, true });
   const auto& conflicts = std::get<Conflicted>(step).conflicts;
   CHECK_EQUAL(1U, conflicts.size());
   CHECK(conflicts[0] == ChangeConflict({ "row a2,m", 2, "other" }));
@@ -322,15 +323,15 @@
 
 TEST(TablePublish, TheSameChangeByAnotherIsNoConflict)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const auto step = publish.On(
-    EntriesRead{ { EntryOf(2, { PutRow{ SomeRow(1, 2) } }) }, true });
+    EntriesRead{ { EntryOf(2, { PutRow{ MakeRow(1, 2) } }) }, true });
   CHECK_EQUAL(2U, std::get<AlreadyInForce>(step).version);
 }
 
-TEST(TablePublish, RefusesATableThatWouldBeWrongTogether)
+TEST(TablePublish, RefusesAMergedTableThatIsInvalid)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const auto step = publish.On(EntriesRead{
     { EntryOf(2, { RemoveRow{ AccountId("*"), ModelId("m") } }) }, true });
   CHECK(Render(std::get<Refused>(step).findings).find("no row of account") !=
@@ -339,19 +340,19 @@
 
 TEST(TablePublish, ALostAnswerIsReadBackByItsToken)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   auto step = publish.On(EntriesRead{});
   ChangeEntry own = std::get<CommitEntry>(step).entry;
   CHECK(std::holds_alternative<WaitAWhile>(publish.On(CommitUnknown{ "" })));
   CHECK(std::holds_alternative<ReadEntries>(publish.On(Continue{})));
   step = publish.On(
-    EntriesRead{ { own, EntryOf(3, { PutRow{ SomeRow(1, 9) } }) }, true });
+    EntriesRead{ { own, EntryOf(3, { PutRow{ MakeRow(1, 9) } }) }, true });
   CHECK_EQUAL(2U, std::get<Published>(step).version);
 }
 
-TEST(TablePublish, AnUnsettledWriteIsRepeatedAsItWas)
+TEST(TablePublish, AnUnresolvedWriteIsRepeatedUnchanged)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const ChangeEntry first =
     std::get<CommitEntry>(publish.On(EntriesRead{})).entry;
   publish.On(CommitUnknown{ "" });
@@ -362,7 +363,7 @@
 TEST(TablePublish, GivesUpSayingWhetherItMayBeInForce)
 {
   for (const bool unsettled : { false, true }) {
-    TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+    TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
     PublishStep step = publish.On(EntriesRead{});
     if (unsettled) {
       publish.On(CommitUnknown{ "lost" });
@@ -375,24 +376,24 @@
   }
 }
 
-TEST(TablePublish, EntriesThatAreGoneEndIt)
+TEST(TablePublish, GivesUpWhenEntriesWereDeleted)
 {
-  TablePublish publish = Publish({ PutRow{ SomeRow(1, 2) } });
+  TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const auto step = publish.On(EntriesRead{ { EntryOf(9, {}) }, true });
   CHECK(std::holds_alternative<GaveUp>(step));
 }
 
-TEST(TablePublish, RacingOperatorsNeverOverwriteDoubleOrHalfApply)
+TEST(TablePublish, ConcurrentOperatorsNeverOverwriteDuplicateOrApplyPartially)
 {
-  CHECK(rc::check([] { RC_ASSERT(RaceHolds(Variant::kRight)); }));
+  CHECK(rc::check([] { RC_ASSERT(InvariantsHold(Variant::kRight)); }));
 }
 
-TEST(TablePublish, TheRaceCatchesAPublisherThatRebasesBlindly)
+TEST(TablePublish, RandomRunsDetectIgnoredChanges)
 {
-  CHECK(SomeRunBreaks(Variant::kBlind));
+  CHECK(AnyRunViolatesInvariants(Variant::kIgnoresChanges));
 }
 
-TEST(TablePublish, TheRaceCatchesAPublisherThatForgetsALostAnswer)
+TEST(TablePublish, RandomRunsDetectAnIgnoredUnknownCommit)
 {
-  CHECK(SomeRunBreaks(Variant::kForgetful));
+  CHECK(AnyRunViolatesInvariants(Variant::kIgnoresUnknownCommit));
 }
--- a/src/jujubehead/core/table_review.cpp
+++ b/src/jujubehead/core/table_review.cpp
@@ -13,9 +13,9 @@
 namespace jujubehead::core {
 namespace {
 
-/// Shares that move by less are not worth a line.
-constexpr double kSmallestMove = 0.05;
-constexpr std::size_t kMovedShown = 5;
+/// Smaller changes of a share, in percentage points, are not listed.
+constexpr double kMinListedShareChange = 0.05;
+constexpr std::size_t kMaxListedShareChanges = 5;
 constexpr std::size_t kAccountWidth = 20;
 
 /// Shares of all accounts in percent, by model and account.
@@ -71,20 +71,20 @@
 }
 
 std::string
-Move(double aBefore, double aAfter)
+ShareChangeText(double aBefore, double aAfter)
 {
   return Percent(aBefore) + " -> " + Percent(aAfter);
 }
 
 bool
-IsMove(double aBefore, double aAfter)
+IsListedShareChange(double aBefore, double aAfter)
 {
-  return std::abs(aAfter - aBefore) >= kSmallestMove;
+  return std::abs(aAfter - aBefore) >= kMinListedShareChange;
 }
 
-/// The cell for a reviewer: nobody reviews the letters of a hash.
+/// The cell for a reviewer; a hash is only shown as set or not.
 std::string
-Shown(const TableRow& aRow, TableColumn aColumn)
+DisplayText(const TableRow& aRow, TableColumn aColumn)
 {
   const std::string text = CellText(aRow, aColumn);
   if (text.empty() && aColumn == TableColumn::kKeyHash) {
@@ -112,7 +112,8 @@
       column == TableColumn::kAccount || column == TableColumn::kModel;
     if (!is_key && !CellText(aRow, column).empty()) {
       AppendCell(text,
-                 std::string(ColumnName(column)) + ' ' + Shown(aRow, column));
+                 std::string(ColumnName(column)) + ' ' +
+                   DisplayText(aRow, column));
     }
   }
   return text.empty() ? "all as the model's" : text;
@@ -131,13 +132,13 @@
       continue;
     }
     AppendCell(text,
-               name + ' ' + Shown(aChange.before, column) + " -> " +
-                 Shown(aChange.after, column));
+               name + ' ' + DisplayText(aChange.before, column) + " -> " +
+                 DisplayText(aChange.after, column));
   }
   return text;
 }
 
-/// One model's paragraph.
+/// The paragraph of one model.
 struct Paragraph
 {
   std::string lines;
@@ -162,7 +163,7 @@
     std::string text;
     for (const auto& [model, paragraph] : m_paragraphs) {
       text += "model " + model.Text() + '\n' + paragraph.lines;
-      text += OtherMoves(model, paragraph);
+      text += IndirectShareChanges(model, paragraph);
     }
     return text + Summary();
   }
@@ -193,28 +194,29 @@
     paragraph.lines += std::string("  ") + aMark + ' ' + account + ' ' + aCells;
     const double before = m_old.Of(aRow.account, aRow.model);
     const double after = m_new.Of(aRow.account, aRow.model);
-    if (IsMove(before, after)) {
-      paragraph.lines += "; share " + Move(before, after);
+    if (IsListedShareChange(before, after)) {
+      paragraph.lines += "; share " + ShareChangeText(before, after);
     }
     paragraph.lines += '\n';
   }
 
-  /// What becomes of accounts whose own row stays as it is.
-  std::string OtherMoves(const ModelId& aModel, const Paragraph& aParagraph)
+  /// Share changes of accounts whose own row is unchanged.
+  std::string IndirectShareChanges(const ModelId& aModel,
+                                   const Paragraph& aParagraph)
   {
-    struct Moved
+    struct ChangedShare
     {
       AccountId account;
       double before = 0;
       double after = 0;
     };
-    std::vector<Moved> moved;
+    std::vector<ChangedShare> moved;
     for (const AccountId& account : m_new.Accounts(aModel)) {
-      const Moved one{ account,
-                       m_old.Of(account, aModel),
-                       m_new.Of(account, aModel) };
+      const ChangedShare one{ account,
+                              m_old.Of(account, aModel),
+                              m_new.Of(account, aModel) };
       if (!aParagraph.listed.contains(account) &&
-          IsMove(one.before, one.after)) {
+          IsListedShareChange(one.before, one.after)) {
         moved.push_back(one);
       }
     }
@@ -224,12 +226,15 @@
                std::abs(aRight.after - aRight.before);
       });
     std::string text;
-    for (std::size_t i = 0; i < std::min(moved.size(), kMovedShown); ++i) {
+    for (std::size_t i = 0; i < std::min(moved.size(), kMaxListedShareChanges);
+         ++i) {
       text += "    " + moved[i].account.Text() + ": share " +
-              Move(moved[i].before, moved[i].after) + ", by the others\n";
+              ShareChangeText(moved[i].before, moved[i].after) +
+              ", by the others\n";
     }
-    if (moved.size() > kMovedShown) {
-      text += "    and " + std::to_string(moved.size() - kMovedShown) +
+    if (moved.size() > kMaxListedShareChanges) {
+      text += "    and " +
+              std::to_string(moved.size() - kMaxListedShareChanges) +
               " more accounts whose share moves less\n";
     }
     return text;
--- a/src/jujubehead/core/table_review_test.cpp
+++ b/src/jujubehead/core/table_review_test.cpp
@@ -23,7 +23,7 @@
 
 TEST_GROUP(TableReview){};
 
-TEST(TableReview, ReadsLikeAReview)
+TEST(TableReview, RendersRowsAndShareChanges)
 {
   const Table old = Read("*,m,v1,,1,8,,,,,\n"
                          "big,m,,,6,,,,,,\n"
@@ -55,7 +55,7 @@
   CHECK_EQUAL(0.0, SharePercent(table, AccountId("b"), ModelId("n")));
 }
 
-TEST(TableReview, RowsThatMovedSinceTheBaseAreNamed)
+TEST(TableReview, ListsRowsChangedSinceTheBase)
 {
   const Table base =
     Read("*,m,v1,,1,8,,,,,\na,m,,,1,,,,,,\nb,m,,,1,,,,,,\nc,m,,,1,,,,,,\n");
--- a/src/jujubehead/core/table_test.cpp
+++ b/src/jujubehead/core/table_test.cpp
@@ -73,7 +73,7 @@
   CHECK_EQUAL(1U, Diff(before, after).size());
 }
 
-TEST(Table, WrittenOutItReadsBackTheSame)
+TEST(Table, CsvRoundTripGivesTheSameTable)
 {
   const std::string rows =
     "*,m,v1,,1,8,64,0,20000,0.25,\n"
@@ -85,7 +85,7 @@
   CHECK_EQUAL(table.ToCsv(), again.ToCsv());
 }
 
-TEST(Table, AnAccountsKeyStandsInAnyOfItsRows)
+TEST(Table, AnAccountsKeyMayBeInAnyOfItsRows)
 {
   const std::string hash = HashKey("secret", "c2FsdHNhbHQ");
   const Table table = Read("*,m,v1,,,8,,,,,\n*,n,v1,,,8,,,,,\n"
@@ -96,7 +96,7 @@
   CHECK_EQUAL(2U, table.RowsOf(AccountId("a")).size());
 }
 
-TEST(Table, EveryFindingCarriesRowColumnAndWhatWasExpected)
+TEST(Table, EveryFindingHasRowColumnAndExpectedForm)
 {
   const std::string found = FindingsOf("*,m,v1,,1,8,,,,,\n"
                                        "a,m,,,0,9,x,1001,0,-1,plain\n"
@@ -126,7 +126,7 @@
   STRCMP_EQUAL(expected.c_str(), found.c_str());
 }
 
-TEST(Table, RowsTogetherAreChecked)
+TEST(Table, ChecksRowsAgainstEachOther)
 {
   const std::string hash = HashKey("s", "c2FsdHNhbHQ");
   const std::string found =
@@ -153,7 +153,7 @@
   STRCMP_EQUAL(expected.c_str(), found.c_str());
 }
 
-TEST(Table, WeightsThatAddUpTooHighAreFoundOnce)
+TEST(Table, ReportsATooHighSumOfWeightsOnce)
 {
   std::string rows = "*,m,v1,,,8,,,,,\n";
   for (int i = 0; i < 1002; ++i) {
@@ -165,7 +165,7 @@
                FindingsOf(rows).c_str());
 }
 
-TEST(Table, ColumnsMayStandInAnyOrderButEachOnce)
+TEST(Table, ColumnsMayBeInAnyOrderButEachOnce)
 {
   const auto swapped = Table::FromCsv(
     "t.csv",
@@ -185,20 +185,20 @@
   CHECK(found.find("t.csv:1: no column 'deadline_ms'") != std::string::npos);
 }
 
-TEST(Table, TextThatIsNoTableIsAFindingWithItsLine)
+TEST(Table, MalformedCsvIsAFindingWithItsLine)
 {
   CHECK(FindingsOf("*,m,v\"1,,,8,,,,,\n").starts_with("t.csv:2: not comma"));
   const auto empty = Table::FromCsv("t.csv", "\n\n");
   CHECK(Render(empty.error()).starts_with("t.csv:1: the table is empty"));
 }
 
-TEST(Table, AnOpenQuoteAtTheEndIsFound)
+TEST(Table, ReportsAnUnterminatedQuote)
 {
   CHECK(FindingsOf("*,m,v1,,,8,,,,,\n\"a,m,,,,,,,,,\n") // the quote never ends
           .starts_with("t.csv:3: not comma"));
 }
 
-TEST(Table, WhateverTextComesItIsATableOrFindingsWithPlaces)
+TEST(Table, AnyTextGivesATableOrFindingsWithPlaces)
 {
   CHECK(rc::check([] {
     std::string text =
