--- a/include/jujubehead/core/table_publish.hpp
+++ b/include/jujubehead/core/table_publish.hpp
@@ -70,7 +70,8 @@
   Findings findings;
 };
 
-/// @brief Result: too many attempts failed.
+/// @brief Result: too many attempts failed, or entries after the base are no
+/// longer in the log.
 struct GaveUp
 {
   std::string why;
@@ -165,8 +166,8 @@
   std::string m_author;
   /// Last change of other operators since the base, by subject.
   std::map<std::string, ChangeConflict> m_concurrent_changes;
-  std::uint64_t m_unresolved_version =
-    0; ///< Of a write with unknown outcome, or 0.
+  /// Version of a write with unknown outcome, or 0.
+  std::uint64_t m_unresolved_version = 0;
   std::uint64_t m_committed_version = 0;
   unsigned m_failures = 0;
 };
--- a/src/jujubehead/core/table_follower_test.cpp
+++ b/src/jujubehead/core/table_follower_test.cpp
@@ -252,11 +252,11 @@
 TEST(TableFollower, NeverGoesBackOrServesAnOldVersion)
 {
   CHECK(rc::check([] {
-    RandomFollower subject(false);
+    RandomFollower random_follower(false);
     for (int i = 0; i < 60; ++i) {
-      subject.Advance();
+      random_follower.Advance();
     }
-    RC_ASSERT(subject.Holds());
+    RC_ASSERT(random_follower.Holds());
   }));
 }
 
--- a/src/jujubehead/core/table_publish.cpp
+++ b/src/jujubehead/core/table_publish.cpp
@@ -104,7 +104,7 @@
     {
       // An earlier attempt of the same write may have moved the head; the next
       // read finds it by the token.
-      return self.OnFailure("the table keeps changing concurrently");
+      return self.OnFailure("other operators keep changing the table");
     }
     PublishStep operator()(const CommitUnknown& aUnknown) const
     {
@@ -163,8 +163,8 @@
     return;
   }
   if (aEntry.version >= m_unresolved_version) {
-    m_unresolved_version =
-      0; // The only version that the write could take is used.
+    // The only version that the write could take is used.
+    m_unresolved_version = 0;
   }
   for (const Change& change : aEntry.changes) {
     std::string subject = ChangeSubject(change);
--- a/src/jujubehead/core/table_review.cpp
+++ b/src/jujubehead/core/table_review.cpp
@@ -210,31 +210,33 @@
       double before = 0;
       double after = 0;
     };
-    std::vector<ChangedShare> moved;
+    std::vector<ChangedShare> changed;
     for (const AccountId& account : m_new.Accounts(aModel)) {
       const ChangedShare one{ account,
                               m_old.Of(account, aModel),
                               m_new.Of(account, aModel) };
       if (!aParagraph.listed.contains(account) &&
           IsListedShareChange(one.before, one.after)) {
-        moved.push_back(one);
+        changed.push_back(one);
       }
     }
-    std::sort(
-      moved.begin(), moved.end(), [](const auto& aLeft, const auto& aRight) {
-        return std::abs(aLeft.after - aLeft.before) >
-               std::abs(aRight.after - aRight.before);
-      });
+    std::sort(changed.begin(),
+              changed.end(),
+              [](const auto& aLeft, const auto& aRight) {
+                return std::abs(aLeft.after - aLeft.before) >
+                       std::abs(aRight.after - aRight.before);
+              });
     std::string text;
-    for (std::size_t i = 0; i < std::min(moved.size(), kMaxListedShareChanges);
+    for (std::size_t i = 0;
+         i < std::min(changed.size(), kMaxListedShareChanges);
          ++i) {
-      text += "    " + moved[i].account.Text() + ": share " +
-              ShareChangeText(moved[i].before, moved[i].after) +
+      text += "    " + changed[i].account.Text() + ": share " +
+              ShareChangeText(changed[i].before, changed[i].after) +
               ", by the others\n";
     }
-    if (moved.size() > kMaxListedShareChanges) {
+    if (changed.size() > kMaxListedShareChanges) {
       text += "    and " +
-              std::to_string(moved.size() - kMaxListedShareChanges) +
+              std::to_string(changed.size() - kMaxListedShareChanges) +
               " more accounts whose share moves less\n";
     }
     return text;
