--- a/src/jujubehead/core/table_csv.cpp
+++ b/src/jujubehead/core/table_csv.cpp
@@ -104,7 +104,7 @@
     if (position != 0) {
       AddHeader(aLine,
                 aPosition,
-                "column '" + aName + "' stands twice, first in column " +
+                "column '" + aName + "' appears twice, first in column " +
                   std::to_string(position),
                 "each column once");
       m_columns.back() = std::nullopt;
