--- a/include/jujubehead/wire/codec.hpp
+++ b/include/jujubehead/wire/codec.hpp
@@ -10,19 +10,19 @@
 
 namespace jujubehead::wire {
 
-/// @brief Bytes that are no message of ours.
+/// @brief Thrown when bytes do not decode to an Envelope.
 class DecodeError : public std::runtime_error
 {
 public:
   using std::runtime_error::runtime_error;
 };
 
-/// @brief Writes an envelope as CBOR: `[type, call, is_answer, [fields...]]`.
+/// @brief Encodes an envelope as CBOR: `[type, call, is_answer, [fields...]]`.
 std::vector<std::uint8_t>
 Encode(const Envelope& aEnvelope);
 
-/// @brief Reads what Encode() wrote.
-/// @throws DecodeError on anything else; never reads past `aBytes`.
+/// @brief Decodes the output of Encode().
+/// @throws DecodeError on malformed input; never reads past `aBytes`.
 Envelope
 Decode(std::span<const std::uint8_t> aBytes);
 
--- a/include/jujubehead/wire/messages.hpp
+++ b/include/jujubehead/wire/messages.hpp
@@ -12,14 +12,14 @@
 #include "jujubehead/core/permit.hpp"        // for PermitId, HeldPermit
 #include "jujubehead/core/runtime_clock.hpp" // for Duration
 
-/// Messages between instances. Times are durations from the moment of sending:
-/// clocks of two instances are never compared.
+/// Messages between instances. Times are durations relative to sending, since
+/// clocks of different instances are not comparable.
 ///
 /// Each message lists its fields once, in Fields(); the codec writes them as
-/// one CBOR array, so that no field name travels.
+/// one CBOR array, without field names. Their order is the wire format.
 namespace jujubehead::wire {
 
-/// @brief Entry to owner: how soon could these targets take a request?
+/// @brief Entry to owner: requests the expected wait at these targets.
 struct QuoteAsk
 {
   core::AccountId account;
@@ -34,7 +34,7 @@
   }
 };
 
-/// @brief One target's state as its owner knows it.
+/// @brief A target's state as seen by its owner.
 struct TargetQuote
 {
   core::TargetId target;
@@ -42,7 +42,7 @@
   std::uint32_t waiting = 0;
   std::uint32_t limit = 0;
   core::Duration expected_wait{};
-  std::uint32_t prefill_tokens_per_second = 0; ///< 0: not known yet.
+  std::uint32_t prefill_tokens_per_second = 0; ///< 0: unknown.
   bool admits = false;
 
   template<typename Self>
@@ -58,7 +58,7 @@
   }
 };
 
-/// @brief Owner to entry: quotes of those asked targets that it owns.
+/// @brief Owner to entry: quotes for the requested targets that it owns.
 struct QuoteAnswer
 {
   std::vector<TargetQuote> quotes;
@@ -70,18 +70,19 @@
   }
 };
 
-/// @brief Entry to owner: admit this request to the target. Repeated while it
-/// waits; idempotent by `request`. Answered by PermitAnswer, not as a call.
+/// @brief Entry to owner: requests admission to the target. Resent while the
+/// request waits; idempotent by `request`. PermitAnswer comes as a separate
+/// message, not as the reply to a call.
 struct PermitAsk
 {
   core::TargetId target;
   core::RequestId request;
   core::AccountId account;
   std::int32_t priority = 0;
-  core::Duration deadline{}; ///< How long the request may wait from now.
+  core::Duration deadline{}; ///< Longest wait, from the time of sending.
   std::uint32_t cost_tokens = 0;
-  std::uint64_t mark = 0;    ///< When this message was sent, by its sender.
-  std::uint64_t process = 0; ///< Of the entry: drawn when it starts.
+  std::uint64_t mark = 0;    ///< Time of sending, on the sender's clock.
+  std::uint64_t process = 0; ///< Id of the entry process, drawn at start.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -97,25 +98,25 @@
   }
 };
 
-/// @brief What the owner made of a PermitAsk.
+/// @brief The owner's decision on a PermitAsk.
 enum class PermitOutcome : std::uint8_t
 {
   kGranted,
-  kRefused,  ///< See `reason`; the request was not run.
-  kNotOwner, ///< Ask whom the ownership rows name.
+  kRefused,  ///< See `reason`; the request did not run.
+  kNotOwner, ///< Retry at the owner in the ownership rows.
 };
 
-/// @brief Owner to entry: the answer to a PermitAsk, when it is decided.
+/// @brief Owner to entry: the decision on a PermitAsk, sent once made.
 struct PermitAnswer
 {
   core::TargetId target;
   core::RequestId request;
   PermitOutcome outcome = PermitOutcome::kNotOwner;
-  std::uint64_t epoch = 0;  ///< Of the permit: the fencing number.
-  std::uint64_t number = 0; ///< Of the permit, within its epoch.
+  std::uint64_t epoch = 0;  ///< Epoch of the permit: the fencing token.
+  std::uint64_t number = 0; ///< Number of the permit within its epoch.
   std::uint8_t reason = 0;  ///< core::RefusalReason.
   core::Duration retry_after{};
-  std::uint64_t mark = 0; ///< Of the latest PermitAsk.
+  std::uint64_t mark = 0; ///< Echoed from the latest PermitAsk.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -144,7 +145,7 @@
   }
 };
 
-/// @brief Entry to owner: the run under this permit began.
+/// @brief Entry to owner: the run under this permit has started.
 struct PermitStarted
 {
   core::TargetId target;
@@ -158,16 +159,18 @@
   }
 };
 
-/// @brief Entry to owner: the run under this permit is over. One that is lost
-/// is made up for by HoldingsAsk.
+/// @brief Entry to owner: the run under this permit has ended. If the message
+/// is lost, HoldingsAsk finds the ended run.
 struct PermitRelease
 {
   core::TargetId target;
   std::uint64_t epoch = 0;
   std::uint64_t number = 0;
-  core::Duration first_token{};         ///< From dispatch; 0: none came.
-  std::uint32_t recomputed_tokens = 0;  ///< Prompt tokens it computed.
-  std::vector<std::string> cached_keys; ///< Context keys that it now holds.
+  core::Duration first_token{}; ///< From dispatch; 0: no token received.
+  std::uint32_t recomputed_tokens =
+    0; ///< Prompt tokens that the target computed.
+  std::vector<std::string>
+    cached_keys; ///< Context keys that the target now holds.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -181,7 +184,8 @@
   }
 };
 
-/// @brief Entry to directory home: who holds a prefix of this context?
+/// @brief Entry to directory owner: requests the holders of a prefix of this
+/// context.
 struct HoldersAsk
 {
   std::vector<std::string> keys; ///< Context keys as raw bytes, shortest first.
@@ -197,7 +201,7 @@
 struct TargetHolder
 {
   core::TargetId target;
-  std::uint32_t keys = 0; ///< How many of the asked keys, from the first.
+  std::uint32_t keys = 0; ///< Length of the held prefix, in keys.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -221,7 +225,8 @@
   }
 };
 
-/// @brief Directory home to entry. Hints: a wrong one costs time only.
+/// @brief Directory owner to entry. The entries are hints: a wrong one only
+/// adds latency.
 struct HoldersAnswer
 {
   std::vector<TargetHolder> targets;
@@ -234,7 +239,7 @@
   }
 };
 
-/// @brief To directory home: a target now holds, or lost, these keys.
+/// @brief To directory owner: a target now holds, or has lost, these keys.
 struct TargetHint
 {
   core::TargetId target;
@@ -248,7 +253,7 @@
   }
 };
 
-/// @brief To directory home: a store now holds, or lost, a copy.
+/// @brief To directory owner: a store now holds, or has lost, a copy.
 struct StoreHint
 {
   core::StoreId store;
@@ -265,7 +270,7 @@
   }
 };
 
-/// @brief Both ways: the newest version of the operators' table seen.
+/// @brief Both directions: the newest version seen of the operators' table.
 struct TableHead
 {
   std::uint64_t version = 0;
@@ -277,11 +282,11 @@
   }
 };
 
-/// @brief Starting instance to a peer: send a page of the table in force.
+/// @brief Starting instance to a peer: requests a page of the current table.
 struct TableAsk
 {
-  std::uint64_t version = 0; ///< Of the pages before; 0: the one in force.
-  std::uint64_t offset = 0;  ///< Bytes that are there already.
+  std::uint64_t version = 0; ///< Of the earlier pages; 0: current version.
+  std::uint64_t offset = 0;  ///< Bytes already received.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -293,8 +298,8 @@
 /// @brief Peer to starting instance: a page of a serialised table snapshot.
 struct TableAnswer
 {
-  std::uint64_t version = 0; ///< 0: that version is not kept.
-  std::uint64_t size = 0;    ///< Bytes of the whole.
+  std::uint64_t version = 0; ///< 0: the version is no longer available.
+  std::uint64_t size = 0;    ///< Bytes of the whole snapshot.
   std::string bytes;
 
   template<typename Self>
@@ -304,8 +309,8 @@
   }
 };
 
-/// @brief Owner to entry: which permits of this target do you hold? Answered
-/// by HoldingsAnswer.
+/// @brief Owner to entry: requests the permits of this target that the entry
+/// holds. The reply is HoldingsAnswer.
 struct HoldingsAsk
 {
   core::TargetId target;
@@ -318,7 +323,7 @@
   }
 };
 
-/// @brief Entry to owner: these, and none else up to `up_to`.
+/// @brief Entry to owner: all permits that it holds, up to `up_to`.
 struct HoldingsAnswer
 {
   core::TargetId target;
@@ -333,17 +338,17 @@
   }
 };
 
-/// @brief Entry to a store's owner: a target holds this context now; keep a
-/// copy if that is worth it.
+/// @brief Entry to a store's owner: a target now holds this context; the owner
+/// decides whether a stored copy is worth its cost.
 struct KeepOffer
 {
   core::StoreId store;
   core::TargetId target;
-  std::uint64_t fencing = 0; ///< Of the target's owner, for the order.
+  std::uint64_t fencing = 0; ///< Epoch of the target's owner, for the order.
   core::AccountId account;
-  std::vector<std::string> keys; ///< One a full block, as raw bytes.
-  std::uint32_t tokens = 0;      ///< Of all blocks together.
-  double recompute_price = 0;    ///< Seconds that a token saved is worth.
+  std::vector<std::string> keys; ///< One per full block, as raw bytes.
+  std::uint32_t tokens = 0;      ///< Total of all blocks.
+  double recompute_price = 0;    ///< Value of a token saved, in seconds.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -358,7 +363,8 @@
   }
 };
 
-/// @brief Entry to a store's owner: how soon could an import cross its link?
+/// @brief Entry to a store's owner: requests the expected wait for an import
+/// over its link.
 struct LinkAsk
 {
   core::StoreId store;
@@ -371,7 +377,7 @@
   }
 };
 
-/// @brief A store's owner to an entry. A rate of 0: it is not the owner.
+/// @brief Store's owner to entry. A rate of 0 means that it is not the owner.
 struct LinkQuote
 {
   core::Duration wait{};
@@ -399,7 +405,7 @@
   }
 };
 
-/// @brief The answer that says no more than "received and done".
+/// @brief An empty reply: the message was received and processed.
 struct Ack
 {
   template<typename Self>
@@ -409,7 +415,7 @@
   }
 };
 
-/// @brief Any message. The index is its type on the wire: append only.
+/// @brief Any message. The index is the type on the wire: append only.
 using Message = std::variant<QuoteAsk,
                              QuoteAnswer,
                              PermitAsk,
@@ -440,10 +446,10 @@
                              LinkQuote,
                              CopyMissing>;
 
-/// @brief A message with what ties an answer to its question.
+/// @brief A message with the id that matches a reply to its call.
 struct Envelope
 {
-  /// Chosen by the asker; 0: no answer is expected.
+  /// Id chosen by the caller; 0: no reply is expected.
   std::uint64_t call = 0;
   bool is_answer = false;
   Message message;
--- a/src/jujubehead/wire/codec.cpp
+++ b/src/jujubehead/wire/codec.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-// Writing: one overload a kind of field.
+// Writers: one overload per kind of field.
 template<typename Kind>
 Json
 Write(const core::Id<Kind>& aId)
@@ -24,7 +24,7 @@
   return aDuration.count();
 }
 
-// Byte strings, so that raw keys need no text form.
+// A byte string, since context keys are raw bytes, not text.
 Json
 Write(const std::string& aText)
 {
@@ -79,7 +79,7 @@
   return list;
 }
 
-// Reading: the mirror image.
+// Readers: the inverse of each writer.
 template<typename Kind>
 void
 Read(const Json& aJson, core::Id<Kind>& aId)
@@ -149,7 +149,7 @@
 
 template<std::size_t Index>
 Message
-ReadMessageOf(const Json& aFields)
+ReadAlternative(const Json& aFields)
 {
   std::variant_alternative_t<Index, Message> message;
   Read(aFields, message);
@@ -160,11 +160,11 @@
 Message
 ReadMessage(std::size_t aType,
             const Json& aFields,
-            std::index_sequence<Index...> /*aAll*/)
+            std::index_sequence<Index...> /*aIndices*/)
 {
   using Reader = Message (*)(const Json&);
   static constexpr std::array<Reader, sizeof...(Index)> kReaders = {
-    &ReadMessageOf<Index>...
+    &ReadAlternative<Index>...
   };
   return kReaders.at(aType)(aFields);
 }
@@ -191,7 +191,7 @@
   try {
     const Json list = Json::from_cbor(aBytes.begin(), aBytes.end());
     if (!list.is_array() || list.size() != kEnvelopeFields) {
-      throw DecodeError("not an envelope");
+      throw DecodeError("malformed envelope: expected an array of 4 elements");
     }
     Envelope envelope;
     envelope.call = list[1].get<std::uint64_t>();
--- a/src/jujubehead/wire/codec_test.cpp
+++ b/src/jujubehead/wire/codec_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_GROUP(Codec){};
 
-TEST(Codec, AnEnvelopeComesBackAsItWas)
+TEST(Codec, EnvelopeRoundTrips)
 {
   const bool ok =
     rc::check("round trip",
@@ -34,7 +34,7 @@
   CHECK(ok);
 }
 
-TEST(Codec, NestedListsAndDurationsComeBack)
+TEST(Codec, NestedListsAndDurationsRoundTrip)
 {
   wire::QuoteAnswer answer;
   answer.quotes.push_back(
@@ -46,7 +46,7 @@
   CHECK(quote.admits);
 }
 
-TEST(Codec, ArbitraryBytesAreRefusedWithoutHarm)
+TEST(Codec, ArbitraryBytesThrowOnlyDecodeError)
 {
   const bool ok =
     rc::check("fuzz", [](const std::vector<std::uint8_t>& aBytes) {
@@ -59,14 +59,14 @@
   CHECK(ok);
 }
 
-TEST(Codec, ACutEnvelopeIsRefused)
+TEST(Codec, TruncatedEnvelopeIsRejected)
 {
   auto bytes = Encode({ 1, false, wire::TableHead{ 77 } });
   bytes.pop_back();
   CHECK_THROWS(DecodeError, Decode(bytes));
 }
 
-TEST(Codec, AnUnknownTypeIsRefused)
+TEST(Codec, UnknownMessageTypeIsRejected)
 {
   const auto unknown = std::variant_size_v<wire::Message>;
   const auto bytes = nlohmann::json::to_cbor(
