--- a/include/jujubehead/wire/messages.hpp
+++ b/include/jujubehead/wire/messages.hpp
@@ -166,11 +166,9 @@
   core::TargetId target;
   std::uint64_t epoch = 0;
   std::uint64_t number = 0;
-  core::Duration first_token{}; ///< From dispatch; 0: no token received.
-  std::uint32_t recomputed_tokens =
-    0; ///< Prompt tokens that the target computed.
-  std::vector<std::string>
-    cached_keys; ///< Context keys that the target now holds.
+  core::Duration first_token{};        ///< From dispatch; 0: no token received.
+  std::uint32_t recomputed_tokens = 0; ///< Prompt tokens prefilled.
+  std::vector<std::string> cached_keys; ///< Context keys the target holds.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
