--- a/bench/agreement/ownership_model_test.cpp
+++ b/bench/agreement/ownership_model_test.cpp
@@ -224,7 +224,7 @@
 {
   WorldOptions options;
   options.breaks.ignore_answers = true;
-  options.permits.ask_after = 100ms;
+  options.permits.query_after = 100ms;
   CHECK(IsCaught(options));
 }
 
--- a/bench/agreement/sim_node.cpp
+++ b/bench/agreement/sim_node.cpp
@@ -170,7 +170,7 @@
     for (auto it = m_pending.begin(); it != m_pending.end();) {
       auto& [request, pending] = *it;
       if (now >= pending.deadline) {
-        Holder(pending.group).Forget(request);
+        Holder(pending.group).RemoveRequest(request);
         it = m_pending.erase(it);
         continue;
       }
@@ -217,8 +217,8 @@
   if (!owner) {
     return;
   }
-  Holder(aPending.group).Asked(aRequest, kAccount);
-  wire::PermitAsk ask;
+  Holder(aPending.group).RegisterRequest(aRequest, kAccount);
+  wire::PermitAcquire ask;
   ask.target = TargetOf(aPending.group);
   ask.request = aRequest;
   ask.account = kAccount;
@@ -244,7 +244,7 @@
 }
 
 void
-SimNode::OnAsk(const InstanceId& aFrom, const wire::PermitAsk& aAsk)
+SimNode::OnAsk(const InstanceId& aFrom, const wire::PermitAcquire& aAsk)
 {
   const GroupId group = GroupOf(aAsk.target);
   const Instant now = m_world.Now();
@@ -252,7 +252,7 @@
   const bool admits =
     m_own.MayAdmit(group, now) || m_world.Options().breaks.ignore_lease;
   if (book == m_books.end() || !admits) {
-    wire::PermitAnswer answer;
+    wire::PermitReply answer;
     answer.target = aAsk.target;
     answer.request = aAsk.request;
     answer.mark = aAsk.mark;
@@ -282,7 +282,7 @@
     return;
   }
   for (const core::PermitDecision& decision : book->second.Decide(now)) {
-    wire::PermitAnswer answer;
+    wire::PermitReply answer;
     answer.target = TargetOf(aGroup);
     if (const auto* grant = std::get_if<core::PermitGranted>(&decision)) {
       if (grant->permit.epoch == book->second.Epoch()) {
@@ -308,13 +308,13 @@
 }
 
 void
-SimNode::OnAnswer(const wire::PermitAnswer& aAnswer)
+SimNode::OnAnswer(const wire::PermitReply& aAnswer)
 {
   const Run run{ aAnswer.request, GroupOf(aAnswer.target) };
   const Instant sent_at(
     core::Duration(static_cast<core::Duration::rep>(aAnswer.mark)));
   if (aAnswer.outcome == wire::PermitOutcome::kRefused) {
-    Holder(run.group).Forget(run.request);
+    Holder(run.group).RemoveRequest(run.request);
     m_pending.erase(run.request);
     ++m_world.Mutable().refused;
     return;
@@ -331,7 +331,7 @@
   if (std::holds_alternative<core::StartRun>(outcome)) {
     m_pending.erase(run.request);
     Begin(run, grant.permit);
-  } else if (std::holds_alternative<core::GiveBackPermit>(outcome)) {
+  } else if (std::holds_alternative<core::ReleasePermit>(outcome)) {
     SendRelease(run.group, grant.permit);
   }
 }
@@ -342,7 +342,7 @@
   FakeEngine& engine = m_world.Engine(aRun.group);
   ++m_world.Mutable().granted;
   if (!engine.Begin(aRun.request, aPermit)) {
-    Ended(aRun, aPermit);
+    OnRunEnded(aRun, aPermit);
     return;
   }
   if (const auto owner = m_own.OwnerOf(aRun.group)) {
@@ -357,14 +357,14 @@
   m_world.Queue().After(time, [this, &engine, aRun, aPermit] {
     engine.End(aRun.request);
     ++m_world.Mutable().completed;
-    Do([this, aRun, aPermit] { Ended(aRun, aPermit); });
+    Do([this, aRun, aPermit] { OnRunEnded(aRun, aPermit); });
   });
 }
 
 void
-SimNode::Ended(const Run& aRun, const PermitId& aPermit)
+SimNode::OnRunEnded(const Run& aRun, const PermitId& aPermit)
 {
-  Holder(aRun.group).Ended(aPermit);
+  Holder(aRun.group).OnRunEnded(aPermit);
   SendRelease(aRun.group, aPermit);
 }
 
@@ -403,14 +403,14 @@
             const Message& aMessage)
 {
   const Instant now = m_world.Now();
-  using core::HandedOver;
+  using core::GroupHandover;
   if constexpr (std::is_constructible_v<core::OwnershipMessage, Message>) {
     m_own.OnMessage(aFrom, aMessage, now);
-  } else if constexpr (std::is_same_v<Message, HandedOver>) {
-    m_own.OnHandedOver(aMessage, now);
-  } else if constexpr (std::is_same_v<Message, wire::PermitAsk>) {
+  } else if constexpr (std::is_same_v<Message, GroupHandover>) {
+    m_own.OnHandover(aMessage, now);
+  } else if constexpr (std::is_same_v<Message, wire::PermitAcquire>) {
     OnAsk(aFrom, aMessage);
-  } else if constexpr (std::is_same_v<Message, wire::PermitAnswer>) {
+  } else if constexpr (std::is_same_v<Message, wire::PermitReply>) {
     OnAnswer(aMessage);
   } else if constexpr (std::is_same_v<Message, wire::PermitRelease>) {
     OnRelease(aMessage);
@@ -421,19 +421,19 @@
       book->second.Started(permit, now);
       m_grants[book->first][permit].started = true;
     }
-  } else if constexpr (std::is_same_v<Message, wire::HoldingsAsk>) {
+  } else if constexpr (std::is_same_v<Message, wire::HoldingsRequest>) {
     auto& holder = Holder(GroupOf(aMessage.target));
-    wire::HoldingsAnswer answer{
+    wire::HoldingsReply answer{
       aMessage.target, aMessage.up_to, {}, m_process
     };
     answer.held = m_world.Options().breaks.ignore_answers
                     ? holder.Held()
-                    : holder.Answer({ aMessage.up_to }).held;
+                    : holder.AnswerQuery({ aMessage.up_to }).held;
     Post(aFrom, wire::Envelope{ aCall, true, answer });
-  } else if constexpr (std::is_same_v<Message, wire::HoldingsAnswer>) {
+  } else if constexpr (std::is_same_v<Message, wire::HoldingsReply>) {
     const auto book = m_books.find(GroupOf(aMessage.target));
     if (book != m_books.end()) {
-      book->second.AcceptHolding(
+      book->second.ApplyHoldings(
         { aFrom, aMessage.up_to, aMessage.held, aMessage.process }, now);
       Decide(book->first);
     }
@@ -495,13 +495,14 @@
 SimNode::Act(const core::StartOwning& aAction)
 {
   const auto& options = m_world.Options();
-  auto book =
-    core::PermitBook::ForEpoch(aAction.epoch, options.limit, options.permits);
+  auto book = core::PermitScheduler::ForEpoch(
+    aAction.epoch, options.limit, options.permits);
   book.SetShare({ kAccount, 1, options.limit, 1000 });
-  const bool complete = aAction.is_first || aAction.is_handed;
+  const bool complete = aAction.is_first || aAction.has_all_permits;
   if (!complete && !options.breaks.forget_unknown) {
     book.ReserveUnknown(options.limit,
-                        aAction.previous_end + options.permits.start_window);
+                        aAction.previous_grants_end +
+                          options.permits.start_window);
   }
   book.Adopt(aAction.held, m_world.Now());
   m_books.insert_or_assign(aAction.group, std::move(book));
@@ -529,22 +530,22 @@
     return;
   }
   Post(aAction.row.owner.instance,
-       core::HandedOver{
+       core::GroupHandover{
          aAction.row, book->second.Held(), book->second.Reserved() == 0 });
   m_books.erase(book);
 }
 
 void
-SimNode::AskHolders(const GroupId& aGroup, core::PermitBook& aBook)
+SimNode::AskHolders(const GroupId& aGroup, core::PermitScheduler& aBook)
 {
-  const wire::HoldingsAsk ask{ TargetOf(aGroup), aBook.Query().up_to };
+  const wire::HoldingsRequest ask{ TargetOf(aGroup), aBook.Query().up_to };
   if (aBook.Reserved() > 0) {
     for (const core::InstanceMember& member : m_world.Members()) {
       Post(member.id, ask);
     }
     return;
   }
-  for (const InstanceId& holder : aBook.HoldersToAsk(m_world.Now())) {
+  for (const InstanceId& holder : aBook.HoldersToQuery(m_world.Now())) {
     Post(holder, ask);
   }
 }
@@ -561,7 +562,7 @@
                               Do([this, aGroup, report] {
                                 const auto book = m_books.find(aGroup);
                                 if (book != m_books.end()) {
-                                  book->second.ObserveTargetReport(report);
+                                  book->second.ApplyTargetReport(report);
                                   Decide(aGroup);
                                 }
                               });
@@ -616,7 +617,7 @@
   std::string text = m_id.Text();
   text += !m_alive ? " dead" : m_paused ? " paused" : "";
   text += m_own.IsReady() ? "" : " not-ready";
-  text += m_own.LeaseUntil() > m_world.Now() ? " valid" : " lapsed";
+  text += m_own.LeaseExpiresAt() > m_world.Now() ? " valid" : " lapsed";
   text += " " + std::to_string(m_process >> core::Incarnation::kLeaseBits);
   if (const auto lease = m_own.Lease()) {
     text += " rev " + std::to_string(lease->rev) + " witnesses";
--- a/bench/agreement/sim_node.hpp
+++ b/bench/agreement/sim_node.hpp
@@ -7,10 +7,10 @@
 #include <map>        // for map
 #include <vector>     // for vector
 
-#include "bench/agreement/world.hpp"         // for World
-#include "jujubehead/core/ownership.hpp"     // for Ownership
-#include "jujubehead/core/permit_book.hpp"   // for PermitBook
-#include "jujubehead/core/permit_holder.hpp" // for PermitHolder
+#include "bench/agreement/world.hpp"            // for World
+#include "jujubehead/core/ownership.hpp"        // for Ownership
+#include "jujubehead/core/permit_holder.hpp"    // for PermitHolder
+#include "jujubehead/core/permit_scheduler.hpp" // for PermitScheduler
 
 namespace jujubehead::bench {
 
@@ -90,16 +90,16 @@
   void On(const core::InstanceId& aFrom,
           std::uint64_t aCall,
           const Message& aMessage);
-  void OnAsk(const core::InstanceId& aFrom, const wire::PermitAsk& aAsk);
-  void OnAnswer(const wire::PermitAnswer& aAnswer);
+  void OnAsk(const core::InstanceId& aFrom, const wire::PermitAcquire& aAsk);
+  void OnAnswer(const wire::PermitReply& aAnswer);
   void OnRelease(const wire::PermitRelease& aRelease);
   void Decide(const core::GroupId& aGroup);
   void Ask(const core::RequestId& aRequest, Pending& aPending);
   void Begin(const Run& aRun, const core::PermitId& aPermit);
-  void Ended(const Run& aRun, const core::PermitId& aPermit);
+  void OnRunEnded(const Run& aRun, const core::PermitId& aPermit);
   void SendRelease(const core::GroupId& aGroup, const core::PermitId& aPermit);
   void LookAfterBooks();
-  void AskHolders(const core::GroupId& aGroup, core::PermitBook& aBook);
+  void AskHolders(const core::GroupId& aGroup, core::PermitScheduler& aBook);
   void AskTarget(const core::GroupId& aGroup);
   void VoidByTime();
   core::PermitHolder& Holder(const core::GroupId& aGroup);
@@ -109,7 +109,7 @@
   core::InstanceId m_id;
   core::DataCentreId m_dc;
   core::Ownership m_own;
-  std::map<core::GroupId, core::PermitBook> m_books;
+  std::map<core::GroupId, core::PermitScheduler> m_books;
   std::map<core::GroupId, core::PermitHolder> m_holders;
   std::map<core::RequestId, Pending> m_pending;
   std::map<core::GroupId, std::map<core::PermitId, Grant>> m_grants;
--- a/bench/agreement/table_run.cpp
+++ b/bench/agreement/table_run.cpp
@@ -178,11 +178,11 @@
     Duration next = Latency();
     if (const auto* idle = std::get_if<core::FollowIdle>(&step)) {
       next = std::max<Duration>(idle->until - m_queue.Now(), 1ms);
-    } else if (const auto* entries = std::get_if<core::FollowEntries>(&step)) {
+    } else if (const auto* entries = std::get_if<core::FetchEntries>(&step)) {
       ReadEntries(aNode, entries->after, next);
-    } else if (std::holds_alternative<core::FollowSnapshot>(step)) {
+    } else if (std::holds_alternative<core::FetchStoredSnapshot>(step)) {
       ReadSnapshot(aNode, next);
-    } else if (const auto* ask = std::get_if<core::FollowPeer>(&step)) {
+    } else if (const auto* ask = std::get_if<core::FetchPeerSnapshot>(&step)) {
       AskPeer(aNode, ask->peer, next);
     }
     At(aNode, next + 1us, [this, aNode, aLife] { Follow(aNode, aLife); });
@@ -331,7 +331,7 @@
       answer = ReadForPublish(read->after);
     } else if (const auto* commit = std::get_if<core::CommitEntry>(&aStep)) {
       answer = Commit(commit->entry);
-    } else if (std::holds_alternative<core::WaitAWhile>(aStep)) {
+    } else if (std::holds_alternative<core::BackOff>(aStep)) {
       latency = 200ms;
     } else {
       m_conflicts += std::holds_alternative<core::Conflicted>(aStep) ? 1 : 0;
--- a/bench/agreement/world.cpp
+++ b/bench/agreement/world.cpp
@@ -19,8 +19,8 @@
 bool
 IsPermit(const wire::Message& aMessage)
 {
-  return std::holds_alternative<wire::PermitAsk>(aMessage) ||
-         std::holds_alternative<wire::PermitAnswer>(aMessage) ||
+  return std::holds_alternative<wire::PermitAcquire>(aMessage) ||
+         std::holds_alternative<wire::PermitReply>(aMessage) ||
          std::holds_alternative<wire::PermitStarted>(aMessage) ||
          std::holds_alternative<wire::PermitRelease>(aMessage);
 }
--- a/bench/context/differential_test.cpp
+++ b/bench/context/differential_test.cpp
@@ -5,10 +5,10 @@
 #include <string>   // for string
 #include <vector>   // for vector
 
-#include "jujubehead/core/candidates.hpp"   // for PickCandidates
-#include "jujubehead/core/directory.hpp"    // for Directory
-#include "jujubehead/core/kept_context.hpp" // for CheckImport
-#include "jujubehead/core/router.hpp"       // for RankRoutes
+#include "jujubehead/core/candidates.hpp"     // for PickCandidates
+#include "jujubehead/core/context_import.hpp" // for CheckImport
+#include "jujubehead/core/directory.hpp"      // for Directory
+#include "jujubehead/core/router.hpp"         // for RankRoutes
 
 // Last: its macros change the meaning of new.
 #include <CppUTest/TestHarness.h> // for TEST
@@ -81,7 +81,7 @@
 
 struct FakeCopy
 {
-  CopyReading header;
+  CopyState header;
   std::vector<std::string> blocks;
 };
 
@@ -219,7 +219,7 @@
     if (m_copies.size() >= kStoreCopies) {
       m_copies.erase(m_copies.begin());
     }
-    const CopyName name{ HandleOf(aKeys), m_generations.Next() };
+    const CopyId name{ HandleOf(aKeys), m_generations.Next() };
     FakeCopy copy{
       { name, true, Salt(aPrompt.scope), aKeys, aKeys.size(), aKeys.size() }, {}
     };
--- a/bench/context/keeping_policy.cpp
+++ b/bench/context/keeping_policy.cpp
@@ -5,9 +5,9 @@
 #include <chrono>    // for hours
 #include <string>    // for to_string
 
-#include "bench/context/world.hpp"         // for World
-#include "jujubehead/core/candidates.hpp"  // for PickCandidates
-#include "jujubehead/core/keep_policy.hpp" // for ExportGain, KeepPrice
+#include "bench/context/world.hpp"              // for World
+#include "jujubehead/core/candidates.hpp"       // for PickCandidates
+#include "jujubehead/core/retention_policy.hpp" // for ExportGain, RetentionPrice
 
 namespace jujubehead::bench::context {
 namespace {
@@ -149,7 +149,7 @@
           link.ExpectedWait(core::TransferKind::kImport, account, aWorld.Now()),
           link.BytesPerSecond(),
           static_cast<std::uint32_t>(aWorld.Parts().bytes_per_block),
-          link.Use(core::TransferKind::kImport, aWorld.Now()) });
+          link.Utilization(core::TransferKind::kImport, aWorld.Now()) });
     }
   }
   return copies;
@@ -163,15 +163,16 @@
   const auto& keys = aWorld.Work().keys[aRequest.context];
   m_directory.Learn(NameOf(aTarget), std::span(keys).first(aRequest.blocks));
   auto& forecast = m_forecasts[aTarget];
-  forecast.Used(keys.front(), aRequest.blocks);
-  for (const core::ContextKey& root : forecast.TakeDue(kDueShare)) {
+  forecast.OnUse(keys.front(), aRequest.blocks);
+  for (const core::ContextKey& root : forecast.TakeNearEviction(kDueShare)) {
     ConsiderExport(aWorld, m_contexts.at(root), aTarget);
   }
   auto& evictions = m_evictions[aTarget];
-  evictions.Used(keys.front(), aRequest.blocks);
-  for (const core::ContextKey& root : evictions.TakeDue(kEvictedShare)) {
-    m_directory.Unlearn(NameOf(aTarget),
-                        aWorld.Work().keys[m_contexts.at(root)]);
+  evictions.OnUse(keys.front(), aRequest.blocks);
+  for (const core::ContextKey& root :
+       evictions.TakeNearEviction(kEvictedShare)) {
+    m_directory.RecordRemoved(NameOf(aTarget),
+                              aWorld.Work().keys[m_contexts.at(root)]);
   }
 }
 
@@ -200,11 +201,11 @@
     return;
   }
   const double bytes = aWorld.Parts().bytes_per_block;
-  const core::ExportView view{
+  const core::ExportInput view{
     ValueOf(aWorld, known),
     static_cast<std::uint64_t>((known.blocks - kept) * bytes),
     aWorld.Link(*chosen).BytesPerSecond(),
-    aWorld.Link(*chosen).Use(core::TransferKind::kImport, aWorld.Now()),
+    aWorld.Link(*chosen).Utilization(core::TransferKind::kImport, aWorld.Now()),
     kKeptFor,
     known.blocks * aWorld.Parts().tokens_per_block *
       aWorld.User().recompute_price
@@ -220,7 +221,7 @@
   }
 }
 
-core::KeptValue
+core::RetentionInput
 KeepingPolicy::ValueOf(const World& aWorld, const Known& aKnown) const
 {
   const double seconds =
@@ -232,14 +233,14 @@
            static_cast<std::uint64_t>(aKnown.blocks *
                                       aWorld.Parts().bytes_per_block),
            seconds,
-           core::ReturnValue(seconds, tokens, aWorld.User().recompute_price) };
+           core::ReuseValue(seconds, tokens, aWorld.User().recompute_price) };
 }
 
 double
 KeepingPolicy::PriceOf(World& aWorld, std::uint32_t aContext) const
 {
   const Known& known = m_known[aContext];
-  return core::KeepPrice(m_returns, ValueOf(aWorld, known));
+  return core::RetentionPrice(m_returns, ValueOf(aWorld, known));
 }
 
 bool
@@ -253,7 +254,7 @@
   if (missing == 0) {
     return true;
   }
-  std::vector<core::VictimView> views;
+  std::vector<core::EvictionCandidate> views;
   std::vector<std::uint32_t> contexts;
   for (const auto& [context, copy] : store.Copies()) {
     if (context != aContext) {
@@ -269,7 +270,7 @@
   for (const std::size_t index : *victims) {
     const std::uint32_t context = contexts[index];
     const auto generation = store.Find(context)->generation;
-    m_directory.ForgetCopy(StoreId(std::to_string(aStore)),
+    m_directory.RemoveCopy(StoreId(std::to_string(aStore)),
                            { std::to_string(context), generation });
     store.Free(context);
   }
@@ -311,7 +312,7 @@
 void
 KeepingPolicy::OnStoreLost(std::size_t aStore)
 {
-  m_directory.Forget(StoreId(std::to_string(aStore)));
+  m_directory.RemoveHolder(StoreId(std::to_string(aStore)));
 }
 
 void
--- a/bench/context/keeping_policy.hpp
+++ b/bench/context/keeping_policy.hpp
@@ -9,8 +9,8 @@
 #include "bench/context/placement.hpp"           // for Placement, PolicyBase
 #include "jujubehead/core/directory.hpp"         // for Directory
 #include "jujubehead/core/eviction_forecast.hpp" // for EvictionForecast
-#include "jujubehead/core/keep_policy.hpp"       // for KeptValue
-#include "jujubehead/core/return_model.hpp"      // for ReturnModel
+#include "jujubehead/core/retention_policy.hpp"  // for RetentionInput
+#include "jujubehead/core/reuse_model.hpp"       // for ReuseModel
 #include "jujubehead/core/router.hpp"            // for RankRoutes
 
 namespace jujubehead::bench::context {
@@ -58,14 +58,14 @@
   void ConsiderExport(World& aWorld,
                       std::uint32_t aContext,
                       std::size_t aTarget);
-  [[nodiscard]] core::KeptValue ValueOf(const World& aWorld,
-                                        const Known& aKnown) const;
+  [[nodiscard]] core::RetentionInput ValueOf(const World& aWorld,
+                                             const Known& aKnown) const;
   [[nodiscard]] double PriceOf(World& aWorld, std::uint32_t aContext) const;
 
   std::vector<core::TargetId> m_targets;
   std::vector<core::AccountId> m_accounts;
   core::Directory m_directory;
-  core::ReturnModel m_returns;
+  core::ReuseModel m_returns;
   std::vector<core::EvictionForecast> m_forecasts; ///< For exports.
   std::vector<core::EvictionForecast> m_evictions; ///< For hints.
   std::vector<Known> m_known;
--- a/bench/context/world.cpp
+++ b/bench/context/world.cpp
@@ -375,8 +375,8 @@
   const core::CacheEvent event{ ++m_copy_events[aMoving.store],
                                 core::CacheEventKind::kStored,
                                 { keys.begin(), keys.begin() + aMoving.blocks },
-                                core::CopyName{ std::to_string(aMoving.context),
-                                                aMoving.generation } };
+                                core::CopyId{ std::to_string(aMoving.context),
+                                              aMoving.generation } };
   At(m_now + m_hardware.event_lag, [this, event, index = aMoving.store] {
     std::visit([&](auto& aPolicy) { aPolicy.OnCopy(index, event); }, m_policy);
   });
--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -6,11 +6,11 @@
 #include <string>   // for string, to_string
 #include <vector>   // for vector
 
-#include "jujubehead/core/context/cache_scope.hpp" // for CacheScope
-#include "jujubehead/core/routing/placement.hpp"   // for PlacePrompt
-#include "jujubehead/node/forward/part_places.hpp" // for PlaceParts
-#include "jujubehead/node/metrics.hpp"             // for Metrics
-#include "platform/header_lines.hpp"               // for HeaderLines
+#include "jujubehead/core/context/cache_scope.hpp"   // for CacheScope
+#include "jujubehead/core/routing/placement.hpp"     // for PlacePrompt
+#include "jujubehead/node/forward/transfer_plan.hpp" // for PlanTransfers
+#include "jujubehead/node/metrics.hpp"               // for Metrics
+#include "platform/platform_header_codec.hpp"        // for PlatformHeaderCodec
 
 namespace jujubehead::bench {
 namespace {
@@ -57,7 +57,7 @@
     store.data_centre = DataCentre(i);
     store.capacity_tokens = 1'000'000'000;
     store.bytes_per_second = i % 2 == 0 ? 2e10 : 7e10;
-    store.first_delay = std::chrono::microseconds(i % 2 == 0 ? 6000 : 500);
+    store.base_latency = std::chrono::microseconds(i % 2 == 0 ? 6000 : 500);
     all.stores.push_back(store);
   }
   std::vector<core::RegisteredTarget> targets;
@@ -91,7 +91,7 @@
 Decide(node::ForwardState& aState, const core::Prompt& aPrompt)
 {
   const core::Instant now = core::RuntimeClock::now();
-  const auto place = node::StorePlaceOf(aState, aPrompt, kScope, kService);
+  const auto place = node::StoreDataCentreOf(aState, aPrompt, kScope, kService);
   const auto targets = aState.fleet.Of(kService);
   std::vector<core::PlacementCandidate> candidates;
   candidates.reserve(targets.size());
@@ -99,29 +99,29 @@
     core::PlacementCandidate candidate;
     candidate.name_hash = target->name_hash;
     candidate.load = target->load.Requests(now);
-    candidate.is_at_store = place && target->target.data_centre == *place;
+    candidate.is_near_store = place && target->target.data_centre == *place;
     candidates.push_back(candidate);
   }
   const auto chosen =
-    core::PlacePrompt(core::PlacementHash(aPrompt.ReturningPart()), candidates);
+    core::PlacePrompt(core::PlacementHash(aPrompt.AffinityPart()), candidates);
   node::TargetCall call;
   call.cache_scope = core::ToText(kScope);
-  node::PlaceParts(aState,
-                   aPrompt,
-                   kScope,
-                   *targets.at(chosen.value_or(0)),
-                   std::chrono::milliseconds(600),
-                   call);
+  node::PlanTransfers(aState,
+                      aPrompt,
+                      kScope,
+                      *targets.at(chosen.value_or(0)),
+                      std::chrono::milliseconds(600),
+                      call);
 }
 
 double
 MicrosecondsADecision(const Size& aSize)
 {
   const node::EntryOptions options;
-  const platform::HeaderLines dialect;
+  const platform::PlatformHeaderCodec header_codec;
   const auto metrics = node::Metrics::Create();
   node::DecisionLog log;
-  node::ForwardState state(options, dialect, metrics->ForThread(), log);
+  node::ForwardState state(options, header_codec, metrics->ForThread(), log);
   Fill(state, aSize);
   std::mt19937_64 random(1);
   std::uniform_int_distribution<int> any(0, aSize.parts - 1);
@@ -134,7 +134,7 @@
                                2 * kTokens + 1000,
                                10 };
     const core::Instant now = core::RuntimeClock::now();
-    state.operator_heard = now;
+    state.last_operator_contact = now;
     state.target_clock.OnReading(1000, now);
     const auto begun = std::chrono::steady_clock::now();
     Decide(state, prompt);
--- a/include/jujubehead/core/change_log.hpp
+++ b/include/jujubehead/core/change_log.hpp
@@ -29,7 +29,7 @@
 
 /// @return the kind with that name.
 std::optional<StopKind>
-StopKindOf(std::string_view aName);
+ParseStopKind(std::string_view aName);
 
 /// @brief Identifies what a planned stop applies to.
 struct StopSubject
@@ -113,11 +113,11 @@
 };
 
 /// @brief Result of TableView::Apply() and TableView::Replace().
-enum class Applied : std::uint8_t
+enum class ApplyResult : std::uint8_t
 {
-  kInForce, ///< The view moved forward.
-  kOld,     ///< The view has this version or a newer one.
-  kGap,     ///< Entries before it are missing; fetch them or a snapshot.
+  kAdvanced, ///< The view moved forward.
+  kStale,    ///< The view has this version or a newer one.
+  kGap,      ///< Entries before it are missing; fetch them or a snapshot.
 };
 
 /// @brief The current table and stop marks; versions only increase.
@@ -137,11 +137,11 @@
   [[nodiscard]] const StopMark* FindStop(const StopSubject& aSubject) const;
 
   /// @brief Applies one entry if it is the next one.
-  Applied Apply(const ChangeEntry& aEntry);
+  ApplyResult Apply(const ChangeEntry& aEntry);
   /// @brief Applies entries in order as one step; stops at a gap.
-  Applied Apply(std::span<const ChangeEntry> aEntries);
+  ApplyResult Apply(std::span<const ChangeEntry> aEntries);
   /// @brief Replaces the state if the snapshot is newer.
-  Applied Replace(TableSnapshot aSnapshot);
+  ApplyResult Replace(TableSnapshot aSnapshot);
 
 private:
   std::shared_ptr<const TableSnapshot> m_current;
--- a/include/jujubehead/core/claims.hpp
+++ b/include/jujubehead/core/claims.hpp
@@ -42,7 +42,7 @@
   std::size_t max_batch_rows = 50;
   std::size_t max_transactions = 4;
   /// A request is refused when its claim is not settled within this time.
-  Duration patience = std::chrono::seconds(5);
+  Duration settle_timeout = std::chrono::seconds(5);
   Duration retry_delay = std::chrono::milliseconds(100);
   /// Further claims are refused immediately.
   std::size_t max_waiting = 2000;
--- a/include/jujubehead/core/context/part_directory.hpp
+++ b/include/jujubehead/core/context/part_directory.hpp
@@ -20,7 +20,7 @@
   std::string scope; ///< Text of the CacheScope.
   std::string part;
   std::uint64_t tokens = 0; ///< Stored now.
-  bool is_kept = false;     ///< False: removed from the store.
+  bool is_stored = false;   ///< False: removed from the store.
 };
 
 /// @brief A part of a prompt, within a scope.
@@ -33,10 +33,10 @@
 /// @brief A store's events since the previous read.
 struct PartEventPage
 {
-  std::uint64_t epoch = 0; ///< Changes when the store restarts, empty.
-  std::uint64_t next = 0;  ///< Cursor of the next read.
-  bool has_gap = false;    ///< Earlier events were lost.
-  bool is_all = false;     ///< A snapshot: parts without an event are absent.
+  std::uint64_t epoch = 0;  ///< Changes when the store restarts, empty.
+  std::uint64_t next = 0;   ///< Cursor of the next read.
+  bool has_gap = false;     ///< Earlier events were lost.
+  bool is_snapshot = false; ///< A snapshot: parts without an event are absent.
   /// Clock shared by targets and stores at the time of the answer, in ms.
   std::optional<std::int64_t> clock_ms;
   std::vector<PartEvent> events;
@@ -67,7 +67,7 @@
               const PartEventPage& aPage,
               Instant aAnswered);
   /// @brief The store did not answer: its parts count as absent until it does.
-  void OnSilence(const StoreId& aStore);
+  void OnNoResponse(const StoreId& aStore);
   /// @brief Drops parts that were removed from a store, ahead of its events.
   void Drop(const StoreId& aStore, const std::vector<ScopedPart>& aParts);
   /// @brief Drops the parts of all scopes that match, at all stores.
@@ -82,7 +82,7 @@
                                        std::string_view aPart,
                                        Instant aNow) const;
   /// @return whether a store answered within PartDirectoryOptions::trust_time.
-  [[nodiscard]] bool IsPresent(const StoreId& aStore, Instant aNow) const;
+  [[nodiscard]] bool IsReachable(const StoreId& aStore, Instant aNow) const;
   /// @return the current epoch of a store; 0 if the store is unknown.
   [[nodiscard]] std::uint64_t EpochOf(const StoreId& aStore) const;
   /// @return at most `aMost` parts at a store whose scope matches.
@@ -91,7 +91,7 @@
     std::size_t aMost,
     const std::function<bool(std::string_view aScope)>& aMatches) const;
   /// @return total tokens of all known parts at a store.
-  [[nodiscard]] std::uint64_t TokensKept(const StoreId& aStore) const;
+  [[nodiscard]] std::uint64_t TokensStored(const StoreId& aStore) const;
 
 private:
   struct Store
--- a/include/jujubehead/core/context/part_log.hpp
+++ b/include/jujubehead/core/context/part_log.hpp
@@ -27,14 +27,14 @@
 };
 
 /// Age reported for an unreachable store; longer than any trust time.
-inline constexpr Duration kSilentAge = std::chrono::hours(1);
+inline constexpr Duration kUnreachableAge = std::chrono::hours(1);
 
 /// @brief A store's status as last seen by the instance that watches it.
-struct HeardStore
+struct StoreStatus
 {
   StoreId store;
   std::uint64_t epoch = 0;
-  Duration age{}; ///< Since its last answer; kSilentAge: unreachable.
+  Duration age{}; ///< Since its last answer; kUnreachableAge: unreachable.
 };
 
 /// @brief A reader's position in a PartLog.
@@ -47,14 +47,14 @@
 };
 
 /// @brief One page of the changes after a position in a PartLog.
-struct PartNews
+struct PartLogPage
 {
   PartCursor cursor;
   bool has_more = false; ///< More can be read immediately.
   /// Starts a snapshot: parts that are neither on this page nor on the ones
   /// that follow it are absent.
-  bool is_all = false;
-  std::vector<HeardStore> stores; ///< All that have ever answered.
+  bool is_snapshot = false;
+  std::vector<StoreStatus> stores; ///< All that have ever answered.
   std::vector<PartChange> changes;
 };
 
@@ -83,7 +83,7 @@
   explicit PartLog(PartLogOptions aOptions = {});
 
   void OnPage(const StoreId& aStore, const PartEventPage& aPage, Instant aNow);
-  void OnSilence(const StoreId& aStore);
+  void OnNoResponse(const StoreId& aStore);
 
   /// @brief Drops the parts of all scopes that match, without logging removals:
   /// readers drop them by the same rule. When weights are replaced, all parts
@@ -92,8 +92,8 @@
   /// next hub and begin with a snapshot).
   void DropWhere(const std::function<bool(std::string_view aScope)>& aMatches);
   /// @param aCursor the reader's position.
-  [[nodiscard]] PartNews ReadAfter(const PartCursor& aCursor,
-                                   Instant aNow) const;
+  [[nodiscard]] PartLogPage ReadAfter(const PartCursor& aCursor,
+                                      Instant aNow) const;
 
 private:
   struct Store
--- a/include/jujubehead/core/context/part_uses.hpp
+++ b/include/jujubehead/core/context/prefix_popularity.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_CONTEXT_PART_USES_HPP
-#define JUJUBEHEAD_CORE_CONTEXT_PART_USES_HPP
+#ifndef JUJUBEHEAD_CORE_CONTEXT_PREFIX_POPULARITY_HPP
+#define JUJUBEHEAD_CORE_CONTEXT_PREFIX_POPULARITY_HPP
 
 #include <string>        // for string
 #include <string_view>   // for string_view
@@ -12,12 +12,12 @@
 /// @brief Decaying rate at which this instance's requests use each prompt part.
 /// Parts that are no longer used are evicted, so the size follows the traffic
 /// of some ten seconds.
-class PartUses
+class PrefixPopularity
 {
 public:
   /// @brief Counts a use by a request.
   /// @return uses per second, this one included.
-  double OnUse(std::string_view aPart, Instant aNow);
+  double CountUse(std::string_view aPart, Instant aNow);
   [[nodiscard]] std::size_t Size() const { return m_parts.size(); }
 
 private:
@@ -35,4 +35,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_CONTEXT_PART_USES_HPP
+#endif // JUJUBEHEAD_CORE_CONTEXT_PREFIX_POPULARITY_HPP
--- a/include/jujubehead/core/context/prompt.hpp
+++ b/include/jujubehead/core/context/prompt.hpp
@@ -29,7 +29,7 @@
 
   /// @return the id of the part that keys cache affinity: the last one shared
   /// with other requests; empty if there are no parts.
-  [[nodiscard]] const std::string& ReturningPart() const
+  [[nodiscard]] const std::string& AffinityPart() const
   {
     static const std::string kNone;
     if (parts.empty()) {
--- a/include/jujubehead/core/context/store_link.hpp
+++ b/include/jujubehead/core/context/store_link.hpp
@@ -17,7 +17,7 @@
 public:
   /// @param aOwn requests of this instance at the targets now.
   /// @param aAll requests of all instances at these targets.
-  void OnLook(double aOwn, double aAll);
+  void AddSample(double aOwn, double aAll);
   /// @return above 0, at most 1; a quarter before the first sample.
   [[nodiscard]] double Value() const;
 
@@ -39,13 +39,13 @@
 struct LinkRate
 {
   double bytes_per_second = 0; ///< 0: unknown.
-  Duration first_delay{};      ///< Fixed latency of each transfer.
+  Duration base_latency{};     ///< Fixed latency of each transfer.
 
   friend bool operator==(const LinkRate&, const LinkRate&) = default;
   friend bool operator<(const LinkRate& aOne, const LinkRate& aOther)
   {
-    return std::tie(aOne.bytes_per_second, aOne.first_delay) <
-           std::tie(aOther.bytes_per_second, aOther.first_delay);
+    return std::tie(aOne.bytes_per_second, aOne.base_latency) <
+           std::tie(aOther.bytes_per_second, aOther.base_latency);
   }
 };
 
@@ -82,7 +82,7 @@
 };
 
 /// @brief Inputs of the decision whether to request a transfer.
-struct TransferOffer
+struct TransferEstimate
 {
   Duration wait{};      ///< On the link, by StoreLink::Wait().
   Duration transfer{};  ///< With the fixed latency.
@@ -93,13 +93,13 @@
 /// it again: prefill delays all requests of the target, so a store is skipped
 /// only if its link would make this request late.
 [[nodiscard]] bool
-IsWorthReading(const TransferOffer& aOffer);
+ShouldRead(const TransferEstimate& aOffer);
 
 /// @return whether to write a part to a store that does not have it. No request
 /// waits for a write, but reads queue behind it, so writes use only the time
 /// that reads leave.
 [[nodiscard]] bool
-IsWorthKeeping(const TransferOffer& aOffer);
+ShouldWrite(const TransferEstimate& aOffer);
 
 } // namespace jujubehead::core
 
--- a/include/jujubehead/core/context/store_homes.hpp
+++ b/include/jujubehead/core/context/store_placement.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_CONTEXT_STORE_HOMES_HPP
-#define JUJUBEHEAD_CORE_CONTEXT_STORE_HOMES_HPP
+#ifndef JUJUBEHEAD_CORE_CONTEXT_STORE_PLACEMENT_HPP
+#define JUJUBEHEAD_CORE_CONTEXT_STORE_PLACEMENT_HPP
 
 #include <cstddef>     // for size_t
 #include <cstdint>     // for uint64_t
@@ -12,7 +12,7 @@
 namespace jujubehead::core {
 
 /// @brief Properties of a store that decide which parts it holds.
-struct StoreFacts
+struct StorePlacementInput
 {
   std::uint64_t name_hash = 0; ///< Of the store's id; see PlacementHash().
   std::string_view data_centre;
@@ -40,10 +40,10 @@
 /// @param aPart hash of the part's id.
 /// @return a few homes, those of the preferred kind first.
 std::vector<StoreHome>
-StoreHomes(std::uint64_t aPart,
-           const TransferSize& aSize,
-           std::span<const StoreFacts> aStores);
+SelectHomeStores(std::uint64_t aPart,
+                 const TransferSize& aSize,
+                 std::span<const StorePlacementInput> aStores);
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_CONTEXT_STORE_HOMES_HPP
+#endif // JUJUBEHEAD_CORE_CONTEXT_STORE_PLACEMENT_HPP
--- a/include/jujubehead/core/context/watch_pace.hpp
+++ b/include/jujubehead/core/context/watch_pacing.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_CONTEXT_WATCH_PACE_HPP
-#define JUJUBEHEAD_CORE_CONTEXT_WATCH_PACE_HPP
+#ifndef JUJUBEHEAD_CORE_CONTEXT_WATCH_PACING_HPP
+#define JUJUBEHEAD_CORE_CONTEXT_WATCH_PACING_HPP
 
 #include <cstddef> // for size_t
 #include <cstdint> // for uint32_t
@@ -16,7 +16,7 @@
 };
 
 /// @brief Timing of the long polls that watch a store.
-struct WatchPaceOptions
+struct WatchPacingOptions
 {
   /// Batches events: each answer costs a wake-up.
   Duration min_pause = std::chrono::milliseconds(120);
@@ -34,7 +34,8 @@
 
 /// @return how long a long poll waits for events.
 Duration
-WatchWait(const Watchers& aWatchers, const WatchPaceOptions& aOptions = {});
+WatchTimeout(const Watchers& aWatchers,
+             const WatchPacingOptions& aOptions = {});
 
 /// @brief Paces the long polls of all instances that watch a store, which holds
 /// only a few calls open at a time. A call that is held for H, after a pause P,
@@ -45,8 +46,8 @@
 Duration
 WatchPause(Duration aHeld,
            const Watchers& aWatchers,
-           const WatchPaceOptions& aOptions = {});
+           const WatchPacingOptions& aOptions = {});
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_CONTEXT_WATCH_PACE_HPP
+#endif // JUJUBEHEAD_CORE_CONTEXT_WATCH_PACING_HPP
--- a/include/jujubehead/core/kept_context.hpp
+++ b/include/jujubehead/core/context_import.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_KEPT_CONTEXT_HPP
-#define JUJUBEHEAD_CORE_KEPT_CONTEXT_HPP
+#ifndef JUJUBEHEAD_CORE_CONTEXT_IMPORT_HPP
+#define JUJUBEHEAD_CORE_CONTEXT_IMPORT_HPP
 
 #include <cstdint>     // for uint32_t, uint64_t
 #include <optional>    // for optional
@@ -9,7 +9,7 @@
 #include <vector>      // for vector
 
 #include "jujubehead/core/context_key.hpp" // for ContextKey
-#include "jujubehead/core/directory.hpp"   // for CopyName
+#include "jujubehead/core/directory.hpp"   // for CopyId
 
 namespace jujubehead::core {
 
@@ -36,15 +36,15 @@
 /// @brief State of a copy when it was chosen for an import.
 struct ImportTicket
 {
-  CopyName copy;
+  CopyId copy;
   std::string salt;             ///< Of the request's scope.
   std::vector<ContextKey> keys; ///< The blocks that the request will use.
 };
 
 /// @brief State of a copy as reported by its store.
-struct CopyReading
+struct CopyState
 {
-  CopyName copy;
+  CopyId copy;
   bool committed = false;
   std::string salt;
   std::vector<ContextKey> keys;
@@ -70,7 +70,7 @@
 /// @return the ticket for CheckImport(); nothing when the copy is not committed
 /// or holds none of the request's blocks.
 std::optional<ImportTicket>
-ChooseImport(const CopyReading& aReading,
+ChooseImport(const CopyState& aReading,
              std::string aSalt,
              std::span<const ContextKey> aKeys);
 
@@ -80,7 +80,7 @@
 /// that a copy that was freed during the read is rejected too.
 /// @return kAccept when the blocks may be used for a response.
 ImportVerdict
-CheckImport(const ImportTicket& aTicket, const CopyReading& aReading);
+CheckImport(const ImportTicket& aTicket, const CopyState& aReading);
 
 /// @return the verdict as a counter label.
 std::string_view
@@ -88,4 +88,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_KEPT_CONTEXT_HPP
+#endif // JUJUBEHEAD_CORE_CONTEXT_IMPORT_HPP
--- a/include/jujubehead/core/directory.hpp
+++ b/include/jujubehead/core/directory.hpp
@@ -19,12 +19,12 @@
 using Holder = std::variant<TargetId, StoreId>;
 
 /// @brief Identifies a copy in a store; reads address it by this.
-struct CopyName
+struct CopyId
 {
   std::string handle;
   std::uint64_t generation = 0;
 
-  friend bool operator==(const CopyName&, const CopyName&) = default;
+  friend bool operator==(const CopyId&, const CopyId&) = default;
 };
 
 enum class CacheEventKind
@@ -40,7 +40,7 @@
   std::uint64_t sequence = 0; ///< Per holder, from 1.
   CacheEventKind kind = CacheEventKind::kStored;
   std::vector<ContextKey> keys; ///< For a store's copy: all, in order.
-  std::optional<CopyName> copy; ///< Stores only.
+  std::optional<CopyId> copy;   ///< Stores only.
 };
 
 /// @brief Result of applying an event.
@@ -55,8 +55,8 @@
 struct PrefixHint
 {
   Holder holder;
-  std::uint32_t blocks = 0;     ///< Longest prefix, from the first block.
-  std::optional<CopyName> copy; ///< Stores only.
+  std::uint32_t blocks = 0;   ///< Longest prefix, from the first block.
+  std::optional<CopyId> copy; ///< Stores only.
 };
 
 /// @brief Maps block keys to the targets and stores that probably hold them.
@@ -88,18 +88,19 @@
 
   /// @brief Records that a target no longer has the blocks of these keys,
   /// from a source other than its event sequence.
-  void Unlearn(const TargetId& aTarget, std::span<const ContextKey> aKeys);
+  void RecordRemoved(const TargetId& aTarget,
+                     std::span<const ContextKey> aKeys);
   /// @brief Records a committed copy, from a source other than the store's
   /// event sequence.
-  void LearnCopy(const StoreId& aStore,
-                 const CopyName& aCopy,
-                 std::span<const ContextKey> aKeys);
+  void RecordCopy(const StoreId& aStore,
+                  const CopyId& aCopy,
+                  std::span<const ContextKey> aKeys);
 
   /// @brief Removes the entries of a copy that could not be read.
-  void ForgetCopy(const StoreId& aStore, const CopyName& aCopy);
+  void RemoveCopy(const StoreId& aStore, const CopyId& aCopy);
 
   /// @brief Removes all entries of a holder that no longer exists.
-  void Forget(const Holder& aHolder);
+  void RemoveHolder(const Holder& aHolder);
 
   /// @return holders of at least the first block, longest prefix first: one
   /// hint per target and one per copy.
--- a/include/jujubehead/core/eviction_forecast.hpp
+++ b/include/jujubehead/core/eviction_forecast.hpp
@@ -23,7 +23,7 @@
 
   /// @brief Records that the target has run a prompt.
   /// @param aRoot key of its first block, which identifies the context.
-  void Used(const ContextKey& aRoot, std::uint32_t aBlocks);
+  void OnUse(const ContextKey& aRoot, std::uint32_t aBlocks);
 
   /// @brief Removes a context.
   void Forget(const ContextKey& aRoot);
@@ -34,7 +34,7 @@
   /// @param aShare share of the capacity that must have been used since.
   /// @return their roots, the next to be evicted first; each is returned once
   /// per use.
-  std::vector<ContextKey> TakeDue(double aShare);
+  std::vector<ContextKey> TakeNearEviction(double aShare);
 
 private:
   struct Entry
--- a/include/jujubehead/core/link_schedule.hpp
+++ b/include/jujubehead/core/link_schedule.hpp
@@ -25,7 +25,7 @@
   AccountId account;
   double weight = 1; ///< Fair-queueing weight of the account; above 0.
   std::uint64_t bytes = 0;
-  Instant give_up; ///< Dropped if not started by then.
+  Instant start_deadline; ///< Dropped if not started by then.
 };
 
 struct LinkSettings
@@ -78,7 +78,7 @@
 
   /// @return share of time that the link is busy with a kind of transfer, as
   /// an exponential average over the last minutes.
-  [[nodiscard]] double Use(TransferKind aKind, Instant aNow) const;
+  [[nodiscard]] double Utilization(TransferKind aKind, Instant aNow) const;
 
   /// @return number of waiting transfers of a kind.
   [[nodiscard]] std::size_t Waiting(TransferKind aKind) const;
--- a/include/jujubehead/core/membership/hub_choice.hpp
+++ b/include/jujubehead/core/membership/hub_selector.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_HUB_CHOICE_HPP
-#define JUJUBEHEAD_CORE_MEMBERSHIP_HUB_CHOICE_HPP
+#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_HUB_SELECTOR_HPP
+#define JUJUBEHEAD_CORE_MEMBERSHIP_HUB_SELECTOR_HPP
 
 #include <cstddef> // for size_t
 #include <cstdint> // for uint8_t, uint32_t
@@ -11,8 +11,8 @@
 /// @brief How a poll of a hub failed.
 enum class HubFailure : std::uint8_t
 {
-  kGone, ///< It is not a hub, or could not be reached.
-  kLate, ///< It accepted the poll and did not respond in time.
+  kNotServing, ///< It is not a hub, or could not be reached.
+  kTimeout,    ///< It accepted the poll and did not respond in time.
 };
 
 /// @brief Chooses which hub an instance polls next, and after what delay.
@@ -22,7 +22,7 @@
 /// slow hubs would also get the pollers of all other hubs, each of which first
 /// needs a hub's whole list, and none would recover (metastable overload).
 /// Meanwhile the instance reads the operators' store directly.
-class HubChoice
+class HubSelector
 {
 public:
   /// @return the index of the hub to poll.
@@ -41,4 +41,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_MEMBERSHIP_HUB_CHOICE_HPP
+#endif // JUJUBEHEAD_CORE_MEMBERSHIP_HUB_SELECTOR_HPP
--- a/include/jujubehead/core/membership/hubs.hpp
+++ b/include/jujubehead/core/membership/hubs.hpp
@@ -8,8 +8,8 @@
 #include <utility>     // for move
 #include <vector>      // for vector
 
-#include "jujubehead/core/membership/instance_book.hpp" // for KnownInstance
-#include "jujubehead/core/runtime_clock.hpp"            // for Instant, Duration
+#include "jujubehead/core/membership/instance_directory.hpp" // for KnownInstance
+#include "jujubehead/core/runtime_clock.hpp" // for Instant, Duration
 
 namespace jujubehead::core {
 
@@ -18,7 +18,7 @@
 {
   /// Up to this many instances, each one watches the stores directly: a store
   /// accepts a watch call of each.
-  std::size_t most_without = 12;
+  std::size_t max_without_hubs = 12;
   /// Number of hubs when there are more instances. They take two thirds of the
   /// watch calls that a store accepts, which leaves room for hubs that take
   /// over. With 370 instances, 46 poll each hub.
@@ -45,7 +45,7 @@
 /// Time after a start until all instances have written their rows and have
 /// polled the hubs that result. An operator's change has to be in force within
 /// three seconds after a start.
-inline constexpr Duration kRoleSettle = std::chrono::milliseconds(2300);
+inline constexpr Duration kHubSettleTime = std::chrono::milliseconds(2300);
 
 /// @brief The present hubs, and whether this instance is one of them. Until
 /// other instances are known it is a hub of its own.
@@ -69,7 +69,7 @@
   /// one would act as a hub (thundering herd).
   [[nodiscard]] bool IsSettling(Instant aNow) const
   {
-    return m_hubs.size() <= 1 && aNow - m_started < kRoleSettle;
+    return m_hubs.size() <= 1 && aNow - m_started < kHubSettleTime;
   }
   /// @return whether this instance watches the stores.
   [[nodiscard]] bool Watches(Instant aNow) const
--- a/include/jujubehead/core/membership/instance_book.hpp
+++ b/include/jujubehead/core/membership/instance_directory.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_BOOK_HPP
-#define JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_BOOK_HPP
+#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_DIRECTORY_HPP
+#define JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_DIRECTORY_HPP
 
 #include <cstdint>     // for uint64_t
 #include <map>         // for map
@@ -30,7 +30,7 @@
 DecodeInstanceRow(std::string aId, std::string_view aRow);
 
 /// @brief Intervals of the rows by which instances discover each other.
-struct InstanceBookOptions
+struct InstanceDirectoryOptions
 {
   /// An instance rewrites its row at this interval. With 370 instances that is
   /// one write in two seconds in total.
@@ -53,10 +53,11 @@
 ///
 /// The row of an instance that crashed stays; callers notice when they contact
 /// it. A row that was not refreshed is deleted by the first instance to notice.
-class InstanceBook
+class InstanceDirectory
 {
 public:
-  explicit InstanceBook(KnownInstance aSelf, InstanceBookOptions aOptions = {});
+  explicit InstanceDirectory(KnownInstance aSelf,
+                             InstanceDirectoryOptions aOptions = {});
 
   /// @param aValue nothing: the row was deleted.
   void OnRow(const std::string& aId,
@@ -85,11 +86,11 @@
   };
 
   KnownInstance m_self;
-  InstanceBookOptions m_options;
+  InstanceDirectoryOptions m_options;
   bool m_is_read = false;
   std::map<std::string, Row> m_rows; ///< By id.
 };
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_BOOK_HPP
+#endif // JUJUBEHEAD_CORE_MEMBERSHIP_INSTANCE_DIRECTORY_HPP
--- a/include/jujubehead/core/membership/store_absences.hpp
+++ b/include/jujubehead/core/membership/store_outages.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_STORE_ABSENCES_HPP
-#define JUJUBEHEAD_CORE_MEMBERSHIP_STORE_ABSENCES_HPP
+#ifndef JUJUBEHEAD_CORE_MEMBERSHIP_STORE_OUTAGES_HPP
+#define JUJUBEHEAD_CORE_MEMBERSHIP_STORE_OUTAGES_HPP
 
 #include <cstddef>  // for size_t
 #include <deque>    // for deque
@@ -10,10 +10,10 @@
 namespace jujubehead::core {
 
 /// @brief A period that counts only while the operators' store is available.
-struct HeardTime
+struct AvailableTimeLimits
 {
-  Duration in_one{}; ///< Ends after this long without an outage,
-  Duration in_all{}; ///< or after this long in total, outages not counted.
+  Duration max_continuous{}; ///< Ends after this long without an outage,
+  Duration max_total{}; ///< or after this long in total, outages not counted.
 };
 
 /// @brief The outages of the operators' store as seen by this process: two
@@ -21,7 +21,7 @@
 ///
 /// A single failed call is not an outage: its connection may have stalled, or
 /// this process may have been suspended.
-class StoreAbsences
+class StoreOutages
 {
 public:
   /// @param aSentAt when the call was sent that the store answered. The store
@@ -36,7 +36,7 @@
   /// available from now on. The time before this process started counts as
   /// available.
   [[nodiscard]] Instant EndOf(Instant aBegan,
-                              const HeardTime& aTime,
+                              const AvailableTimeLimits& aTime,
                               Instant aNow) const;
 
 private:
@@ -53,4 +53,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_MEMBERSHIP_STORE_ABSENCES_HPP
+#endif // JUJUBEHEAD_CORE_MEMBERSHIP_STORE_OUTAGES_HPP
--- a/include/jujubehead/core/membership/store_paths.hpp
+++ b/include/jujubehead/core/membership/store_paths.hpp
@@ -55,17 +55,17 @@
 
   /// @brief A hub sent the changes that it read from the store, and continues
   /// to do so until the given time.
-  void OnFed(Instant aUntil) { m_fed_until = aUntil; }
+  void OnHubFeed(Instant aUntil) { m_fed_until = aUntil; }
   /// @return whether a hub sends changes, so that they need not be read.
-  [[nodiscard]] bool IsFed(Instant aNow) const
+  [[nodiscard]] bool HasHubFeed(Instant aNow) const
   {
     return m_fed_until && aNow < *m_fed_until;
   }
 
   /// @return whether the direct path works. Only then does an instance relay
   /// the calls of others, so that no call is relayed in a circle.
-  [[nodiscard]] bool IsStraight() const { return !m_next_direct; }
-  [[nodiscard]] const std::string& Straight() const { return m_direct; }
+  [[nodiscard]] bool IsDirect() const { return !m_next_direct; }
+  [[nodiscard]] const std::string& DirectAddress() const { return m_direct; }
 
 private:
   std::string m_direct;
--- a/include/jujubehead/core/ownership.hpp
+++ b/include/jujubehead/core/ownership.hpp
@@ -122,10 +122,10 @@
   GroupId group;
   std::uint64_t epoch = 0;
   bool is_first = false;        ///< Never owned before: no earlier permits.
-  bool is_handed = false;       ///< `held` has all permits of earlier owners.
+  bool has_all_permits = false; ///< `held` has all permits of earlier owners.
   std::vector<HeldPermit> held; ///< Permits known to be outstanding.
   /// No earlier owner granted a permit after this, by this instance's clock.
-  Instant previous_end;
+  Instant previous_grants_end;
 };
 
 /// @brief Action: stop admitting at once; another instance may own the group.
@@ -135,8 +135,8 @@
   std::uint64_t epoch = 0;
 };
 
-/// @brief Action: the group moved. Send HandedOver with the outstanding permits
-/// and discard the permit book.
+/// @brief Action: the group moved. Send GroupHandover with the outstanding
+/// permits and discard the permit book.
 struct HandOverGroup
 {
   GroupRow row; ///< With its new owner and epoch.
@@ -151,7 +151,7 @@
                                      HandOverGroup>;
 
 /// @brief Previous owner to the next: the outstanding permits.
-struct HandedOver
+struct GroupHandover
 {
   GroupRow row;
   std::vector<HeldPermit> held;
@@ -186,7 +186,7 @@
   void OnMessage(const InstanceId& aFrom,
                  const OwnershipMessage& aMessage,
                  Instant aNow);
-  void OnHandedOver(const HandedOver& aHandover, Instant aNow);
+  void OnHandover(const GroupHandover& aHandover, Instant aNow);
   void OnWritten(std::uint64_t aToken, WriteOutcome aOutcome, Instant aNow);
   void OnRead(const RowsRead& aRead, Instant aNow);
   void Tick(Instant aNow);
@@ -203,7 +203,7 @@
   [[nodiscard]] std::optional<InstanceId> OwnerOf(const GroupId& aGroup) const;
   [[nodiscard]] std::vector<GroupId> Owned() const;
   /// @return when this instance must stop admitting, by its own clock.
-  [[nodiscard]] Instant LeaseUntil() const;
+  [[nodiscard]] Instant LeaseExpiresAt() const;
   /// @return this instance's lease as stored in the table service.
   [[nodiscard]] std::optional<LeaseRow> Lease() const;
   /// @return whether the first full scan has completed.
--- a/include/jujubehead/core/ownership_messages.hpp
+++ b/include/jujubehead/core/ownership_messages.hpp
@@ -198,7 +198,7 @@
 /// @brief Broadcast of ownership changes. The groups are hints for finding
 /// owners; the leases show which instances can own groups, and which process an
 /// instance runs.
-struct OwnersAnnounce
+struct OwnersAnnouncement
 {
   std::vector<GroupRow> groups;
   std::vector<LeaseRow> opened;
@@ -212,8 +212,8 @@
 };
 
 /// @brief Starting instance to a peer, when the table service is unavailable:
-/// requests all owners. The reply is OwnersAnnounce.
-struct OwnersAsk
+/// requests all owners. The reply is OwnersAnnouncement.
+struct OwnersQuery
 {
   template<typename Self>
   static auto Fields(Self& /*aSelf*/)
@@ -227,8 +227,8 @@
                                       LeaseResign,
                                       VoteRequest,
                                       VoteReply,
-                                      OwnersAnnounce,
-                                      OwnersAsk>;
+                                      OwnersAnnouncement,
+                                      OwnersQuery>;
 
 } // namespace jujubehead::core
 
--- a/include/jujubehead/core/permit.hpp
+++ b/include/jujubehead/core/permit.hpp
@@ -62,11 +62,11 @@
 /// @brief Why a request was not run.
 enum class RefusalReason : std::uint8_t
 {
-  kDeadline,     ///< It could not start by its deadline.
-  kQueueFull,    ///< The account has max_waiting requests here already.
-  kNoShare,      ///< The account has no share of this target.
-  kStopping,     ///< The target or its owner is shutting down.
-  kHolderSilent, ///< The holder stopped resending it.
+  kDeadline,      ///< It could not start by its deadline.
+  kQueueFull,     ///< The account has max_waiting requests here already.
+  kNoShare,       ///< The account has no share of this target.
+  kStopping,      ///< The target or its owner is shutting down.
+  kHolderTimeout, ///< The holder stopped resending it.
 };
 
 /// @brief The request may start now.
@@ -129,7 +129,7 @@
 /// nothing under a permit up to `up_to` that is not listed. It covers the
 /// sending process only: runs started by an earlier process of the instance may
 /// still be in progress.
-struct HoldingsAnswer
+struct HoldingsReply
 {
   InstanceId holder;
   PermitId up_to;
@@ -158,11 +158,11 @@
   Duration margin = std::chrono::seconds(1);
   /// A waiting request is skipped when its last message is older; holders
   /// resend at half of this interval.
-  Duration repeat_within = std::chrono::seconds(1);
+  Duration request_ttl = std::chrono::seconds(1);
   /// A waiting request is dropped when its last message is older.
   Duration request_timeout = std::chrono::seconds(5);
   /// A holder is queried when its permits were last confirmed longer ago.
-  Duration ask_after = std::chrono::seconds(5);
+  Duration query_after = std::chrono::seconds(5);
   /// A holder that sent nothing for this long counts as failed: the target's
   /// report then decides over its permits.
   Duration holder_timeout = std::chrono::seconds(10);
--- a/include/jujubehead/core/permit_holder.hpp
+++ b/include/jujubehead/core/permit_holder.hpp
@@ -18,7 +18,7 @@
 
 /// @brief Too late, or the request was cancelled: release the permit. A request
 /// that still waits is sent again.
-struct GiveBackPermit
+struct ReleasePermit
 {
   PermitId permit;
 };
@@ -27,7 +27,7 @@
 struct IgnoreGrant
 {};
 
-using GrantOutcome = std::variant<StartRun, GiveBackPermit, IgnoreGrant>;
+using GrantOutcome = std::variant<StartRun, ReleasePermit, IgnoreGrant>;
 
 /// @brief The holder's side of one target's permits: decides whether a grant
 /// may still be used, and reports held permits to owners.
@@ -40,19 +40,19 @@
                           std::uint64_t aProcess = 0);
 
   /// @brief Call before a request is sent or resent to the owner.
-  void Asked(const RequestId& aRequest, const AccountId& aAccount);
+  void RegisterRequest(const RequestId& aRequest, const AccountId& aAccount);
   /// @brief The request was refused or its caller disconnected.
   /// @return whether it was waiting for a permit.
-  bool Forget(const RequestId& aRequest);
+  bool RemoveRequest(const RequestId& aRequest);
   /// @param aSentAt when the message was sent that this grant answers.
   GrantOutcome OnGranted(const PermitGranted& aGrant,
                          Instant aSentAt,
                          Instant aNow);
   /// @brief The run under this permit is over.
-  void Ended(const PermitId& aPermit);
+  void OnRunEnded(const PermitId& aPermit);
   /// @brief Answers an owner's query. Grants up to `up_to` that the answer does
   /// not list are ignored from then on.
-  [[nodiscard]] HoldingsAnswer Answer(const HoldingsQuery& aQuery);
+  [[nodiscard]] HoldingsReply AnswerQuery(const HoldingsQuery& aQuery);
   /// @return the permits of the active runs.
   [[nodiscard]] std::vector<HeldPermit> Held() const;
 
--- a/include/jujubehead/core/permit_book.hpp
+++ b/include/jujubehead/core/permit_scheduler.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_PERMIT_BOOK_HPP
-#define JUJUBEHEAD_CORE_PERMIT_BOOK_HPP
+#ifndef JUJUBEHEAD_CORE_PERMIT_SCHEDULER_HPP
+#define JUJUBEHEAD_CORE_PERMIT_SCHEDULER_HPP
 
 #include <cstdint> // for uint32_t, uint64_t
 #include <memory>  // for unique_ptr
@@ -21,23 +21,23 @@
 /// a report of the target.
 ///
 /// @code
-/// auto scheduler = PermitBook::ForEpoch(7, 8);
+/// auto scheduler = PermitScheduler::ForEpoch(7, 8);
 /// scheduler.SetShare({ account, 1, 8, 64 });
 /// scheduler.Request(request, now);
 /// for (const auto& decision : scheduler.Decide(now)) { ... }
 /// @endcode
-class PermitBook
+class PermitScheduler
 {
 public:
   /// @param aEpoch of the ownership.
   /// @param aLimit the most that the target may run at once.
-  static PermitBook ForEpoch(std::uint64_t aEpoch,
-                             std::uint32_t aLimit,
-                             PermitRules aRules = {});
+  static PermitScheduler ForEpoch(std::uint64_t aEpoch,
+                                  std::uint32_t aLimit,
+                                  PermitRules aRules = {});
 
-  PermitBook(PermitBook&&) noexcept;
-  PermitBook& operator=(PermitBook&&) noexcept;
-  ~PermitBook();
+  PermitScheduler(PermitScheduler&&) noexcept;
+  PermitScheduler& operator=(PermitScheduler&&) noexcept;
+  ~PermitScheduler();
 
   /// @brief Changes the limit; a lower one takes effect as runs end.
   void SetLimit(std::uint32_t aLimit);
@@ -72,9 +72,9 @@
   /// @return the query to send to holders.
   [[nodiscard]] HoldingsQuery Query() const;
   /// @return the holders that should be queried again.
-  [[nodiscard]] std::vector<InstanceId> HoldersToAsk(Instant aNow) const;
-  void AcceptHolding(const HoldingsAnswer& aAnswer, Instant aNow);
-  void ObserveTargetReport(const TargetReport& aReport);
+  [[nodiscard]] std::vector<InstanceId> HoldersToQuery(Instant aNow) const;
+  void ApplyHoldings(const HoldingsReply& aAnswer, Instant aNow);
+  void ApplyTargetReport(const TargetReport& aReport);
   /// @return whether a later target report could free slots.
   [[nodiscard]] bool NeedsTargetReport(Instant aNow) const;
 
@@ -94,10 +94,10 @@
 
 private:
   class Impl;
-  explicit PermitBook(std::unique_ptr<Impl> aImpl);
+  explicit PermitScheduler(std::unique_ptr<Impl> aImpl);
   std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_PERMIT_BOOK_HPP
+#endif // JUJUBEHEAD_CORE_PERMIT_SCHEDULER_HPP
--- a/include/jujubehead/core/remote_clock.hpp
+++ b/include/jujubehead/core/remote_clock.hpp
@@ -34,14 +34,14 @@
 
   /// @return a bound on its reading at an instant; nullopt before the first
   /// reading.
-  [[nodiscard]] std::optional<RemoteMs> LeastAt(Instant aWhen) const;
-  [[nodiscard]] std::optional<RemoteMs> MostAt(Instant aWhen) const;
+  [[nodiscard]] std::optional<RemoteMs> LowerBoundAt(Instant aWhen) const;
+  [[nodiscard]] std::optional<RemoteMs> UpperBoundAt(Instant aWhen) const;
   /// @return a bound on when it had that reading; nullopt before the first
   /// reading.
-  [[nodiscard]] std::optional<Instant> LatestOf(RemoteMs aReading,
-                                                Instant aNow) const;
-  [[nodiscard]] std::optional<Instant> EarliestOf(RemoteMs aReading,
-                                                  Instant aNow) const;
+  [[nodiscard]] std::optional<Instant> LatestTimeOf(RemoteMs aReading,
+                                                    Instant aNow) const;
+  [[nodiscard]] std::optional<Instant> EarliestTimeOf(RemoteMs aReading,
+                                                      Instant aNow) const;
 
 private:
   /// A bound on its reading at instant 0 of this process's clock.
--- a/include/jujubehead/core/rendezvous.hpp
+++ b/include/jujubehead/core/rendezvous.hpp
@@ -19,20 +19,20 @@
 /// @param aInstances the live members, in any order.
 /// @return the member with the highest weight; nullopt if there are no members.
 std::optional<InstanceId>
-HomeOf(const ContextKey& aKey, std::span<const InstanceId> aInstances);
+RendezvousOwner(const ContextKey& aKey, std::span<const InstanceId> aInstances);
 
 /// @return at most aCount members by descending weight for the key: the owner
 /// of the key first, then its successors.
 std::vector<InstanceId>
-HomesOf(const ContextKey& aKey,
-        std::span<const InstanceId> aInstances,
-        std::size_t aCount);
+RankByRendezvous(const ContextKey& aKey,
+                 std::span<const InstanceId> aInstances,
+                 std::size_t aCount);
 
 /// @brief As above, for a key given as a string.
 std::vector<InstanceId>
-HomesOf(std::string_view aKey,
-        std::span<const InstanceId> aInstances,
-        std::size_t aCount);
+RankByRendezvous(std::string_view aKey,
+                 std::span<const InstanceId> aInstances,
+                 std::size_t aCount);
 
 namespace detail {
 
--- a/include/jujubehead/core/return_model.hpp
+++ b/include/jujubehead/core/reuse_model.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_RETURN_MODEL_HPP
-#define JUJUBEHEAD_CORE_RETURN_MODEL_HPP
+#ifndef JUJUBEHEAD_CORE_REUSE_MODEL_HPP
+#define JUJUBEHEAD_CORE_REUSE_MODEL_HPP
 
 #include <cstddef> // for size_t
 #include <memory>  // for unique_ptr
@@ -10,7 +10,7 @@
 namespace jujubehead::core {
 
 /// @brief Weights of the prior and the pool, and the limit on accounts.
-struct ReturnModelSettings
+struct ReuseModelSettings
 {
   /// Weight of the pool of all accounts in an account's estimate, in returns.
   double pool_weight = 8;
@@ -26,13 +26,13 @@
 /// spans per doubling), estimated as returns per time at risk. The estimate of
 /// an account shrinks towards the pool of all accounts, that of the pool
 /// towards a prior under which half of all contexts return within an hour.
-class ReturnModel
+class ReuseModel
 {
 public:
-  explicit ReturnModel(const ReturnModelSettings& aSettings = {});
-  ~ReturnModel();
-  ReturnModel(ReturnModel&&) noexcept;
-  ReturnModel& operator=(ReturnModel&&) noexcept;
+  explicit ReuseModel(const ReuseModelSettings& aSettings = {});
+  ~ReuseModel();
+  ReuseModel(ReuseModel&&) noexcept;
+  ReuseModel& operator=(ReuseModel&&) noexcept;
 
   /// @brief Records that a context was idle from one age to another.
   /// @param aReturned whether it returned at the end; otherwise it is still
@@ -48,14 +48,14 @@
 
   /// @return probability of a return within a time from now, for a context that
   /// has been idle for aIdle.
-  [[nodiscard]] double ChanceOfReturn(const AccountId& aAccount,
-                                      Duration aIdle,
-                                      Duration aWithin) const;
+  [[nodiscard]] double ReuseProbability(const AccountId& aAccount,
+                                        Duration aIdle,
+                                        Duration aWithin) const;
 
   /// @return returns per second of retention, maximized over the retention
   /// time: the index by which contexts are ranked for space in a tier.
-  [[nodiscard]] double ReturnRate(const AccountId& aAccount,
-                                  Duration aIdle) const;
+  [[nodiscard]] double ReuseRate(const AccountId& aAccount,
+                                 Duration aIdle) const;
 
 private:
   class Estimator;
@@ -64,4 +64,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_RETURN_MODEL_HPP
+#endif // JUJUBEHEAD_CORE_REUSE_MODEL_HPP
--- a/include/jujubehead/core/routing/admission.hpp
+++ b/include/jujubehead/core/routing/admission.hpp
@@ -16,7 +16,7 @@
 public:
   /// @brief Records the time to a request's first response.
   /// @param aLoad requests at the target when the request was sent.
-  void OnFirstAnswer(double aLoad, Duration aTook);
+  void OnFirstResponse(double aLoad, Duration aTook);
   /// @return the expected time; nothing before the first response.
   [[nodiscard]] std::optional<Duration> At(double aLoad) const;
 
--- a/include/jujubehead/core/routing/attempt_plan.hpp
+++ b/include/jujubehead/core/routing/attempt_plan.hpp
@@ -6,7 +6,7 @@
 namespace jujubehead::core {
 
 /// @brief How one attempt at a target failed.
-enum class AttemptEnd : std::uint8_t
+enum class AttemptOutcome : std::uint8_t
 {
   kNotSent,  ///< No byte was sent: the request has not run.
   kRefused,  ///< The target refused it: the request has not run.
@@ -18,8 +18,8 @@
 /// @brief What to do after a failed attempt.
 enum class NextStep : std::uint8_t
 {
-  kSendAgain,    ///< Retry at another target, if the retry budget allows.
-  kPassOn,       ///< Forward the target's error to the caller.
+  kRetry,        ///< Retry at another target, if the retry budget allows.
+  kForwardError, ///< Forward the target's error to the caller.
   kRefuse,       ///< Respond that it has not run, and when to retry.
   kFail,         ///< Respond that it may have run.
   kFailTimedOut, ///< Respond that it timed out and may have run.
@@ -28,7 +28,7 @@
 /// @brief The attempts of a request so far.
 struct AttemptHistory
 {
-  bool may_repeat = false;        ///< The request may run more than once.
+  bool is_repeatable = false;     ///< The request may run more than once.
   std::uint32_t may_have_run = 0; ///< Attempts after which it may have run.
   std::uint32_t sends = 0;        ///< Attempts that reached a target.
   std::uint32_t max_targets = 1;  ///< Targets that it may run on.
@@ -44,12 +44,12 @@
 /// once is retried only while it certainly has not run; the response "not run"
 /// is given only if that holds for all attempts.
 NextStep
-AfterAttempt(AttemptEnd aEnd, const AttemptHistory& aHistory);
+StepAfterAttempt(AttemptOutcome aEnd, const AttemptHistory& aHistory);
 
 /// @return what to do when a retry is not possible, for instance because no
 /// target or no budget is left.
 NextStep
-InsteadOfSending(AttemptEnd aEnd, const AttemptHistory& aHistory);
+StepWithoutRetry(AttemptOutcome aEnd, const AttemptHistory& aHistory);
 
 } // namespace jujubehead::core
 
--- a/include/jujubehead/core/routing/configuration.hpp
+++ b/include/jujubehead/core/routing/configuration.hpp
@@ -47,9 +47,9 @@
   std::string address; ///< `ip:port`.
   DataCentreId data_centre;
   std::uint64_t capacity_tokens = 0;
-  double bytes_per_second = 0;      ///< Of its link; 0: unknown.
-  Duration first_delay{};           ///< Latency before a transfer's first byte.
-  std::uint32_t most_watchers = 12; ///< Limit of concurrent watch calls.
+  double bytes_per_second = 0;     ///< Of its link; 0: unknown.
+  Duration base_latency{};         ///< Latency before a transfer's first byte.
+  std::uint32_t max_watchers = 12; ///< Limit of concurrent watch calls.
 };
 
 /// @brief A service, as declared.
--- a/include/jujubehead/core/routing/load_estimate.hpp
+++ b/include/jujubehead/core/routing/load_estimate.hpp
@@ -25,7 +25,7 @@
 /// a reason to refuse, and an instance that refuses everything gets no
 /// responses: without the decay, an instance that once met full targets would
 /// refuse requests forever.
-class UsualLoad
+class ServiceLoadAverage
 {
 public:
   void OnReport(double aOthers, double aWaiting, Instant aNow);
@@ -68,7 +68,7 @@
 public:
   LoadEstimate() = default;
   /// @param aAverage of the target's service; reports are added to it.
-  explicit LoadEstimate(std::shared_ptr<UsualLoad> aAverage)
+  explicit LoadEstimate(std::shared_ptr<ServiceLoadAverage> aAverage)
     : m_average(std::move(aAverage))
   {
   }
@@ -79,7 +79,7 @@
   void OnReport(const ReportedLoad& aLoad, Instant aNow);
   /// @brief Another instance passed on a report of the target. It is not added
   /// to the average, as instances exchange reports of the busiest targets only.
-  void OnTold(const ReportedLoad& aLoad, Instant aReceivedAt);
+  void OnRelayedReport(const ReportedLoad& aLoad, Instant aReceivedAt);
 
   [[nodiscard]] std::uint32_t Own() const { return m_own; }
   /// @return the requests queued at the target.
@@ -94,7 +94,7 @@
                                double aAverage,
                                Instant aNow) const;
 
-  std::shared_ptr<UsualLoad> m_average; ///< Null: taken as 0.
+  std::shared_ptr<ServiceLoadAverage> m_average; ///< Null: taken as 0.
   std::uint32_t m_own = 0;
   double m_others = 0;  ///< By the target's last report.
   double m_waiting = 0; ///< By the target's last report.
--- a/include/jujubehead/core/routing/load_news.hpp
+++ b/include/jujubehead/core/routing/load_reports.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_ROUTING_LOAD_NEWS_HPP
-#define JUJUBEHEAD_CORE_ROUTING_LOAD_NEWS_HPP
+#ifndef JUJUBEHEAD_CORE_ROUTING_LOAD_REPORTS_HPP
+#define JUJUBEHEAD_CORE_ROUTING_LOAD_REPORTS_HPP
 
 #include <cstddef> // for size_t
 #include <cstdint> // for uint32_t
@@ -24,12 +24,12 @@
 
 /// @brief A report on a target that some instance received: its load, or that
 /// it is gone.
-struct HeardLoad
+struct TargetLoadReport
 {
   TargetKey target{};
   ReportedLoad load;
   /// When it was received, or slightly before: encoding rounds the age up.
-  Instant heard{};
+  Instant reported_at{};
   /// Nothing listens at its address any more, or another target does. A target
   /// that does not respond is not gone: the network path may be broken for the
   /// reporting instance only.
@@ -37,11 +37,11 @@
 };
 
 /// @return a report that a target is gone. It ranks above all loads.
-HeardLoad
-GoneTarget(const TargetId& aTarget, Instant aNow);
+TargetLoadReport
+GoneTargetReport(const TargetId& aTarget, Instant aNow);
 
 /// @brief Limits of the load reports that instances exchange.
-struct LoadNewsOptions
+struct LoadReportsOptions
 {
   /// Older reports are obsolete, as requests last about a second.
   Duration max_age = std::chrono::milliseconds(1500);
@@ -58,27 +58,27 @@
 /// instance would lose a request on each crashed target (retry storm). Only the
 /// busiest targets are exchanged, as these are to be avoided; the others have
 /// free slots.
-class LoadNews
+class LoadReports
 {
 public:
-  explicit LoadNews(LoadNewsOptions aOptions = {})
+  explicit LoadReports(LoadReportsOptions aOptions = {})
     : m_options(aOptions)
   {
   }
 
   /// @brief Keeps a report if it is the newest of its target.
-  void Put(const HeardLoad& aLoad);
+  void Put(const TargetLoadReport& aLoad);
   /// @return the busiest targets, by requests per slot. Drops reports older
   /// than `max_age`.
-  [[nodiscard]] std::vector<HeardLoad> Busiest(Instant aNow);
+  [[nodiscard]] std::vector<TargetLoadReport> Busiest(Instant aNow);
   /// @return as Busiest(). Drops all reports.
-  [[nodiscard]] std::vector<HeardLoad> TakeBusiest(Instant aNow);
+  [[nodiscard]] std::vector<TargetLoadReport> TakeBusiest(Instant aNow);
 
 private:
-  LoadNewsOptions m_options;
-  std::map<TargetKey, HeardLoad> m_loads;
+  LoadReportsOptions m_options;
+  std::map<TargetKey, TargetLoadReport> m_loads;
 };
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_ROUTING_LOAD_NEWS_HPP
+#endif // JUJUBEHEAD_CORE_ROUTING_LOAD_REPORTS_HPP
--- a/include/jujubehead/core/routing/placement.hpp
+++ b/include/jujubehead/core/routing/placement.hpp
@@ -17,7 +17,7 @@
   double capacity = 1;         ///< Relative to the other candidates.
   bool is_near = false;        ///< In this instance's data centre.
   /// In the data centre of the store that holds the prompt's KV cache.
-  bool is_at_store = false;
+  bool is_near_store = false;
 };
 
 /// @brief Load bounds and locality weights of placement.
@@ -54,16 +54,16 @@
 /// load relative to its capacity, preferring this data centre among equals.
 /// @param aSalt breaks ties, so that instances do not all pick the same target.
 std::optional<std::size_t>
-PlaceCall(std::uint64_t aSalt,
-          std::span<const PlacementCandidate> aCandidates,
-          const PlacementOptions& aOptions = {});
+PlaceByLoad(std::uint64_t aSalt,
+            std::span<const PlacementCandidate> aCandidates,
+            const PlacementOptions& aOptions = {});
 
 /// @return the index of the member that a key is assigned to, in proportion to
 /// the capacities; nothing when there is none. A member that joins or leaves
 /// moves only its own keys.
 std::optional<std::size_t>
-WeightedHome(std::uint64_t aKey,
-             std::span<const PlacementCandidate> aCandidates);
+WeightedOwner(std::uint64_t aKey,
+              std::span<const PlacementCandidate> aCandidates);
 
 /// @return the score of a member for a key in weighted rendezvous hashing; the
 /// key is assigned to the member with the highest score.
--- a/include/jujubehead/core/routing/patience.hpp
+++ b/include/jujubehead/core/routing/stall_timeout.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_ROUTING_PATIENCE_HPP
-#define JUJUBEHEAD_CORE_ROUTING_PATIENCE_HPP
+#ifndef JUJUBEHEAD_CORE_ROUTING_STALL_TIMEOUT_HPP
+#define JUJUBEHEAD_CORE_ROUTING_STALL_TIMEOUT_HPP
 
 #include <optional> // for optional
 
@@ -8,14 +8,14 @@
 namespace jujubehead::core {
 
 /// @brief The input of the silence timeout.
-struct SilenceInput
+struct StallTimeoutInput
 {
   Duration objective{}; ///< Of the request's route, to the first event.
   /// Time to the first event at the target's load, by recent requests.
   std::optional<Duration> predicted;
   /// Other streams of this instance run at the target. A working target sends
   /// events on them many times a second.
-  bool others_stream = false;
+  bool has_other_streams = false;
 };
 
 /// @return how long a target may send nothing on any stream of this instance
@@ -27,8 +27,8 @@
 /// loses the work done and the place in the queue. The timeout then covers the
 /// predicted time at such a load with a margin.
 Duration
-StreamPatience(const SilenceInput& aInput);
+StreamStallTimeout(const StallTimeoutInput& aInput);
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_ROUTING_PATIENCE_HPP
+#endif // JUJUBEHEAD_CORE_ROUTING_STALL_TIMEOUT_HPP
--- a/include/jujubehead/core/routing/target_book.hpp
+++ b/include/jujubehead/core/routing/target_directory.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_ROUTING_TARGET_BOOK_HPP
-#define JUJUBEHEAD_CORE_ROUTING_TARGET_BOOK_HPP
+#ifndef JUJUBEHEAD_CORE_ROUTING_TARGET_DIRECTORY_HPP
+#define JUJUBEHEAD_CORE_ROUTING_TARGET_DIRECTORY_HPP
 
 #include <cstdint>  // for uint64_t, uint32_t
 #include <map>      // for map
@@ -32,8 +32,8 @@
   std::uint32_t slots = 0; ///< Requests that it runs concurrently.
   bool leaving = false;    ///< Draining: takes no new requests.
   std::vector<LoadedModel> models;
-  std::uint64_t born_ms = 0;   ///< Start time since the epoch, by its clock.
-  std::uint64_t heartbeat = 0; ///< Sequence number of its report since start.
+  std::uint64_t started_ms = 0; ///< Start time since the epoch, by its clock.
+  std::uint64_t heartbeat = 0;  ///< Sequence number of its report since start.
 
   /// @return the version of a model's weights; nothing when it has none.
   [[nodiscard]] std::optional<std::uint64_t> VersionOf(
@@ -49,7 +49,7 @@
 };
 
 /// @brief How long possibly outdated registrations are kept.
-struct TargetBookOptions
+struct TargetDirectoryOptions
 {
   /// After a registry outage, targets whose registration expired meanwhile
   /// register again within about 2 s; the rest is for the delay of responses.
@@ -67,21 +67,21 @@
 /// once reported that it is draining stays so until it restarts.
 ///
 /// @code
-/// TargetBook book({});
+/// TargetDirectory book({});
 /// book.OnAnswer(now);
 /// book.Apply(changes, now);
 /// for (const RegisteredTarget& target : book.Targets()) { ... }
 /// @endcode
-class TargetBook
+class TargetDirectory
 {
 public:
-  explicit TargetBook(TargetBookOptions aOptions);
+  explicit TargetDirectory(TargetDirectoryOptions aOptions);
 
   /// @brief The registry answered a read.
   void OnAnswer(Instant aNow);
   /// @brief A read got no response: the registrations of running targets may
   /// expire.
-  void OnSilence() { m_is_unavailable = true; }
+  void OnNoResponse() { m_is_unavailable = true; }
   /// @brief Applies changes in the order in which the registry made them.
   /// Reports older than the known ones are ignored.
   /// @return whether the result of Targets() has changed.
@@ -94,7 +94,7 @@
 
   [[nodiscard]] std::vector<RegisteredTarget> Targets() const;
   /// @return the number of targets whose registration has expired.
-  [[nodiscard]] std::size_t Lapsed() const;
+  [[nodiscard]] std::size_t ExpiredCount() const;
 
 private:
   struct Entry
@@ -113,7 +113,7 @@
   bool Remove(const TargetId& aId, Instant aNow);
   [[nodiscard]] bool IsReregistering(Instant aNow) const;
 
-  TargetBookOptions m_options;
+  TargetDirectoryOptions m_options;
   std::map<TargetId, Entry> m_entries;
   std::map<TargetId, Removed> m_removed;
   bool m_is_unavailable = false;
@@ -122,4 +122,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_ROUTING_TARGET_BOOK_HPP
+#endif // JUJUBEHEAD_CORE_ROUTING_TARGET_DIRECTORY_HPP
--- a/include/jujubehead/core/routing/target_health.hpp
+++ b/include/jujubehead/core/routing/target_health.hpp
@@ -38,7 +38,7 @@
   void OnUnreachable(Instant aNow);
 
   /// @return the moving average of the failure rate, 0 to 1.
-  [[nodiscard]] double FailingShare() const { return m_failure_rate; }
+  [[nodiscard]] double FailureRate() const { return m_failure_rate; }
   /// @return whether requests may be sent to the target.
   [[nodiscard]] bool IsUsable(Instant aNow) const;
   /// @brief A request is about to be sent. If it is the probe of an ejected
--- a/include/jujubehead/core/routing/repeat_budget.hpp
+++ b/include/jujubehead/core/routing/windowed_retry_budget.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_ROUTING_REPEAT_BUDGET_HPP
-#define JUJUBEHEAD_CORE_ROUTING_REPEAT_BUDGET_HPP
+#ifndef JUJUBEHEAD_CORE_ROUTING_WINDOWED_RETRY_BUDGET_HPP
+#define JUJUBEHEAD_CORE_ROUTING_WINDOWED_RETRY_BUDGET_HPP
 
 #include <array>   // for array
 #include <cstddef> // for size_t
@@ -10,7 +10,7 @@
 namespace jujubehead::core {
 
 /// @brief Limits of a retry budget.
-struct RepeatBudgetOptions
+struct WindowedRetryBudgetOptions
 {
   /// Length of the sliding window.
   Duration window = std::chrono::seconds(10);
@@ -31,14 +31,14 @@
 ///
 /// The limit holds over any sliding window because, of the slots counted,
 /// retries include one slot more than a window and requests one fewer.
-class RepeatBudget
+class WindowedRetryBudget
 {
 public:
-  explicit RepeatBudget(RepeatBudgetOptions aOptions);
+  explicit WindowedRetryBudget(WindowedRetryBudgetOptions aOptions);
 
   void OnRequest(Instant aNow);
   /// @return whether one more retry may be sent now; counts it if so.
-  [[nodiscard]] bool TryRepeat(Instant aNow);
+  [[nodiscard]] bool TryToRetry(Instant aNow);
 
   [[nodiscard]] std::uint64_t Denied() const { return m_denied; }
 
@@ -54,7 +54,7 @@
 
   void Advance(Instant aNow);
 
-  RepeatBudgetOptions m_options;
+  WindowedRetryBudgetOptions m_options;
   std::array<Slot, kSlots> m_slots{};
   std::int64_t m_number = 0; ///< Of the current slot, since the clock's epoch.
   std::uint64_t m_denied = 0;
@@ -62,4 +62,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_ROUTING_REPEAT_BUDGET_HPP
+#endif // JUJUBEHEAD_CORE_ROUTING_WINDOWED_RETRY_BUDGET_HPP
--- a/include/jujubehead/core/sparse_depths.hpp
+++ b/include/jujubehead/core/sparse_depths.hpp
@@ -26,7 +26,7 @@
 /// @return the prefix length, in blocks, of the first `aKeys` sparse keys; 0
 /// for none.
 std::uint32_t
-BlocksOfSparse(std::uint32_t aKeys);
+SparseDepthAt(std::uint32_t aKeys);
 
 } // namespace jujubehead::core
 
--- a/include/jujubehead/core/table_follower.hpp
+++ b/include/jujubehead/core/table_follower.hpp
@@ -38,25 +38,25 @@
 
 /// @brief Request: read the entries after `after` from the table service.
 /// Answer with OnEntries() or OnServiceFailed().
-struct FollowEntries
+struct FetchEntries
 {
   std::uint64_t after = 0;
 };
 
 /// @brief Request: read the newest snapshot from the object store.
 /// Answer with OnStoredSnapshot() or OnServiceFailed().
-struct FollowSnapshot
+struct FetchStoredSnapshot
 {};
 
 /// @brief Request: fetch the current snapshot of a peer.
 /// Answer with OnPeerSnapshot() or OnPeerFailed().
-struct FollowPeer
+struct FetchPeerSnapshot
 {
   InstanceId peer;
 };
 
-using FollowStep =
-  std::variant<FollowIdle, FollowEntries, FollowSnapshot, FollowPeer>;
+using FollowStep = std::
+  variant<FollowIdle, FetchEntries, FetchStoredSnapshot, FetchPeerSnapshot>;
 
 /// @brief Keeps an instance's table up to date with the table service and its
 /// peers, and decides whether the instance may serve with it.
@@ -94,7 +94,10 @@
   /// @return why the instance may not serve yet, or nothing when it may.
   [[nodiscard]] std::optional<std::string> NotReady() const;
   /// @return whether the last read of the service failed.
-  [[nodiscard]] bool IsServiceAway() const { return m_service_failures != 0; }
+  [[nodiscard]] bool IsServiceUnavailable() const
+  {
+    return m_service_failures != 0;
+  }
   /// @return the time since the view was last known to be up to date.
   [[nodiscard]] Duration Age(Instant aNow) const;
 
--- a/include/jujubehead/core/table_publish.hpp
+++ b/include/jujubehead/core/table_publish.hpp
@@ -28,7 +28,7 @@
 };
 
 /// @brief Request: back off, longer after more failures. Answer: Continue.
-struct WaitAWhile
+struct BackOff
 {
   unsigned failures = 0;
 };
@@ -40,7 +40,7 @@
 };
 
 /// @brief Result: nothing was written; all changes were in effect already.
-struct AlreadyInForce
+struct AlreadyApplied
 {
   std::uint64_t version = 0;
 };
@@ -77,14 +77,14 @@
   std::string why;
   /// The outcome of a write is unknown: it may take effect, now or later.
   /// Running the same command again resolves it.
-  bool may_be_in_force = false;
+  bool may_be_applied = false;
 };
 
 using PublishStep = std::variant<ReadEntries,
                                  CommitEntry,
-                                 WaitAWhile,
+                                 BackOff,
                                  Published,
-                                 AlreadyInForce,
+                                 AlreadyApplied,
                                  Conflicted,
                                  Refused,
                                  GaveUp>;
--- a/include/jujubehead/core/weights/order_lease.hpp
+++ b/include/jujubehead/core/weights/coordinator_lease.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_WEIGHTS_ORDER_LEASE_HPP
-#define JUJUBEHEAD_CORE_WEIGHTS_ORDER_LEASE_HPP
+#ifndef JUJUBEHEAD_CORE_WEIGHTS_COORDINATOR_LEASE_HPP
+#define JUJUBEHEAD_CORE_WEIGHTS_COORDINATOR_LEASE_HPP
 
 #include <cstdint>     // for uint64_t
 #include <optional>    // for optional
@@ -12,7 +12,7 @@
 namespace jujubehead::core {
 
 /// @brief Timing of the lease.
-struct OrderLeaseOptions
+struct CoordinatorLeaseOptions
 {
   /// How long a holder may send commands after it began its last renewal.
   /// Short, because a successor has to wait for it and the gap.
@@ -56,7 +56,7 @@
 ///
 /// @code
 /// lease.OnRow(holder, version, now);
-/// if (lease.MayTake(now)) {
+/// if (lease.MayAcquire(now)) {
 ///   const auto begun = now;
 ///   const auto written =
 ///     co_await rows.Put(key, lease.Self(), lease.RowVersion());
@@ -64,11 +64,11 @@
 /// }
 /// if (lease.Holds(now + command_time)) { ... }
 /// @endcode
-class OrderLease
+class CoordinatorLease
 {
 public:
   /// @param aSelf unique name of this run of this instance.
-  OrderLease(std::string aSelf, OrderLeaseOptions aOptions);
+  CoordinatorLease(std::string aSelf, CoordinatorLeaseOptions aOptions);
 
   /// @brief The row was read, or is known to be missing.
   /// @param aVersion 0: there is no row.
@@ -86,7 +86,7 @@
 
   /// @return whether this instance may write the row to acquire or renew the
   /// lease.
-  [[nodiscard]] bool MayTake(Instant aNow) const;
+  [[nodiscard]] bool MayAcquire(Instant aNow) const;
   /// @return whether the holder should renew now.
   [[nodiscard]] bool IsRenewalDue(Instant aNow) const;
   /// @brief A write by this instance succeeded.
@@ -104,7 +104,7 @@
 
 private:
   std::string m_self;
-  OrderLeaseOptions m_options;
+  CoordinatorLeaseOptions m_options;
   /// Since when the row is known to be unchanged.
   std::optional<Instant> m_unchanged_since;
   std::uint64_t m_row_version = 0;
@@ -117,4 +117,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_WEIGHTS_ORDER_LEASE_HPP
+#endif // JUJUBEHEAD_CORE_WEIGHTS_COORDINATOR_LEASE_HPP
--- a/include/jujubehead/core/weights/rollout.hpp
+++ b/include/jujubehead/core/weights/rollout.hpp
@@ -15,7 +15,7 @@
 
 /// @brief The requested versions of a model's weights, and the deadline by
 /// which each has to replace the older ones.
-class WantedWeights
+class DesiredWeights
 {
 public:
   /// @brief Adds a requested version; ignored unless newer than all known ones.
@@ -28,7 +28,7 @@
   /// @return the oldest version on which a request may start at an instant.
   [[nodiscard]] std::uint64_t OldestAllowed(Instant aWhen) const;
   /// @return until when a request may start on a version.
-  [[nodiscard]] Instant BeginUntil(std::uint64_t aVersion) const;
+  [[nodiscard]] Instant StartDeadline(std::uint64_t aVersion) const;
 
 private:
   std::map<std::uint64_t, Instant> m_deadlines; ///< By version.
--- a/include/jujubehead/core/weights/old_weights.hpp
+++ b/include/jujubehead/core/weights/stale_weights_deadlines.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_CORE_WEIGHTS_OLD_WEIGHTS_HPP
-#define JUJUBEHEAD_CORE_WEIGHTS_OLD_WEIGHTS_HPP
+#ifndef JUJUBEHEAD_CORE_WEIGHTS_STALE_WEIGHTS_DEADLINES_HPP
+#define JUJUBEHEAD_CORE_WEIGHTS_STALE_WEIGHTS_DEADLINES_HPP
 
 #include <cstddef>  // for size_t
 #include <cstdint>  // for uint64_t
@@ -7,52 +7,52 @@
 #include <optional> // for optional
 #include <string>   // for string
 
-#include "jujubehead/core/ids.hpp"                       // for ModelId
-#include "jujubehead/core/membership/store_absences.hpp" // for StoreAbsences
-#include "jujubehead/core/remote_clock.hpp"              // for RemoteMs
-#include "jujubehead/core/runtime_clock.hpp"             // for Instant
-#include "jujubehead/core/weights/rollout.hpp"           // for WantedWeights
+#include "jujubehead/core/ids.hpp"                      // for ModelId
+#include "jujubehead/core/membership/store_outages.hpp" // for StoreOutages
+#include "jujubehead/core/remote_clock.hpp"             // for RemoteMs
+#include "jujubehead/core/runtime_clock.hpp"            // for Instant
+#include "jujubehead/core/weights/rollout.hpp"          // for DesiredWeights
 
 namespace jujubehead::core {
 
 /// Announcements kept of a model. Versions that are announced in quick
 /// succession overlap; the deadlines of older ones have passed.
-inline constexpr std::size_t kMostNamings = 8;
+inline constexpr std::size_t kMaxAnnouncements = 8;
 
 /// @brief When versions of a model's weights were announced, on the clock of
 /// the operators' store. Kept in that store, so that it survives restarts of
 /// instances.
-using NamingRecord = std::map<std::uint64_t, RemoteMs>;
+using AnnouncementRecord = std::map<std::uint64_t, RemoteMs>;
 
 /// @brief Converts the record to text and back; invalid text gives an empty
 /// one.
 std::string
-ToText(const NamingRecord& aRecord);
-NamingRecord
-NamingRecordOf(const std::string& aText);
+ToText(const AnnouncementRecord& aRecord);
+AnnouncementRecord
+AnnouncementRecordOf(const std::string& aText);
 
 /// @brief Deadlines until which requests may start on older weights. They count
 /// from the announcement of newer ones, across restarts of instances and
 /// outages of the operators' store.
 ///
 /// @code
-/// OldWeights weights({ seconds(10), seconds(14) });
+/// StaleWeightsDeadlines weights({ seconds(10), seconds(14) });
 /// weights.OnAnswer(asked, answered);
 /// weights.OnRead(model, 2, true, answered);      // announcement time unknown
 /// weights.OnRecorded(model, 2, announced, now);  // until the record is read
-/// weights.OnRecordRead();
-/// weights.Wanted(now).at(model).BeginUntil(1);
+/// weights.OnRecordLoaded();
+/// weights.Wanted(now).at(model).StartDeadline(1);
 /// @endcode
-class OldWeights
+class StaleWeightsDeadlines
 {
 public:
-  explicit OldWeights(HeardTime aTime)
+  explicit StaleWeightsDeadlines(AvailableTimeLimits aTime)
     : m_time(aTime)
   {
   }
 
   /// When a version was announced, as far as is known.
-  struct Naming
+  struct Announcement
   {
     Instant when{};
     bool is_assumed = false; ///< Found at the start, without a record.
@@ -77,7 +77,7 @@
                   Instant aNow);
   /// @brief The whole record was read. Until then a version that was found at
   /// the start may have been announced at any time before.
-  void OnRecordRead() { m_is_record_read = true; }
+  void OnRecordLoaded() { m_is_record_read = true; }
   /// @brief The store answered. To be called after OnRead() of that answer.
   /// @return whether calls had failed before it.
   bool OnAnswer(Instant aAsked, Instant aAnswered);
@@ -85,23 +85,23 @@
 
   /// @return the versions of all models with their deadlines, assuming that the
   /// store stays reachable from now on.
-  [[nodiscard]] std::map<ModelId, WantedWeights> Wanted(Instant aNow) const;
+  [[nodiscard]] std::map<ModelId, DesiredWeights> Wanted(Instant aNow) const;
   /// @return the known announcements of a model, by version.
-  [[nodiscard]] std::map<std::uint64_t, Naming> ToRecord(
+  [[nodiscard]] std::map<std::uint64_t, Announcement> AnnouncementsOf(
     const ModelId& aModel) const;
 
 private:
   struct Model
   {
-    std::uint64_t newest = 0;                      ///< As set by the operator.
-    std::map<std::uint64_t, Naming> announcements; ///< By version.
+    std::uint64_t newest = 0; ///< As set by the operator.
+    std::map<std::uint64_t, Announcement> announcements; ///< By version.
   };
 
-  [[nodiscard]] Instant DeadlineOf(const Naming& aAnnouncement,
+  [[nodiscard]] Instant DeadlineOf(const Announcement& aAnnouncement,
                                    Instant aNow) const;
 
-  HeardTime m_time;
-  StoreAbsences m_absences;
+  AvailableTimeLimits m_time;
+  StoreOutages m_absences;
   std::optional<Instant> m_last_answer;
   bool m_is_record_read = false;
   std::map<ModelId, Model> m_models;
@@ -109,4 +109,4 @@
 
 } // namespace jujubehead::core
 
-#endif // JUJUBEHEAD_CORE_WEIGHTS_OLD_WEIGHTS_HPP
+#endif // JUJUBEHEAD_CORE_WEIGHTS_STALE_WEIGHTS_DEADLINES_HPP
--- a/include/jujubehead/core/weights/superseded_versions.hpp
+++ b/include/jujubehead/core/weights/superseded_versions.hpp
@@ -32,7 +32,8 @@
   /// @return how many requested versions were first requested at least that
   /// long ago. It grows whenever one more version has been superseded for that
   /// long.
-  [[nodiscard]] std::size_t Due(Duration aFor, Instant aNow) const;
+  [[nodiscard]] std::size_t CountSupersededFor(Duration aFor,
+                                               Instant aNow) const;
 
 private:
   /// By model, then by version: when it was first requested.
--- a/include/jujubehead/net/engine_client.hpp
+++ b/include/jujubehead/net/engine_client.hpp
@@ -9,7 +9,7 @@
 #include <boost/asio/awaitable.hpp> // for awaitable
 
 #include "jujubehead/core/context_key.hpp"   // for ContextKey
-#include "jujubehead/core/directory.hpp"     // for CacheEvent, CopyName
+#include "jujubehead/core/directory.hpp"     // for CacheEvent, CopyId
 #include "jujubehead/core/ids.hpp"           // for ModelId, RequestId
 #include "jujubehead/core/runtime_clock.hpp" // for Duration
 
@@ -46,7 +46,7 @@
   std::uint64_t fencing = 0;
   std::vector<core::ContextKey> keys; ///< A prefix, from its first block.
   std::string store;                  ///< `address:port`.
-  core::CopyName copy;
+  core::CopyId copy;
 };
 
 /// @brief The copy is committed at the store.
--- a/include/jujubehead/net/store_client.hpp
+++ b/include/jujubehead/net/store_client.hpp
@@ -6,7 +6,7 @@
 
 #include <boost/asio/awaitable.hpp> // for awaitable
 
-#include "jujubehead/core/directory.hpp"     // for CopyName
+#include "jujubehead/core/directory.hpp"     // for CopyId
 #include "jujubehead/core/runtime_clock.hpp" // for Duration
 #include "jujubehead/net/engine_client.hpp"  // for CacheEventPage
 
@@ -40,7 +40,7 @@
   /// @param aAfter number of the last event that is known; 0: none.
   boost::asio::awaitable<CacheEventPage> EventsAfter(std::uint64_t aAfter);
   /// @brief Deletes a copy; also right for one that is not there.
-  boost::asio::awaitable<void> Delete(core::CopyName aCopy);
+  boost::asio::awaitable<void> Delete(core::CopyId aCopy);
 
 private:
   HttpClient& m_client;
--- a/include/jujubehead/net/table_log.hpp
+++ b/include/jujubehead/net/table_log.hpp
@@ -62,7 +62,7 @@
   std::function<boost::asio::awaitable<void>(core::Duration aTime)>;
 
 /// @brief Runs a publisher to its end, then keeps a snapshot when it is time.
-/// @return the last step: Published, AlreadyInForce, Conflicted, Refused or
+/// @return the last step: Published, AlreadyApplied, Conflicted, Refused or
 /// GaveUp.
 boost::asio::awaitable<core::PublishStep>
 Publish(TableLog& aLog, core::TablePublish aPublish, const SleepFor& aSleep);
--- a/include/jujubehead/node/control/platform.hpp
+++ b/include/jujubehead/node/control/platform.hpp
@@ -10,11 +10,11 @@
 
 #include <boost/asio/awaitable.hpp> // for awaitable
 
-#include "jujubehead/core/context/part_directory.hpp" // for PartEventPage
-#include "jujubehead/core/routing/configuration.hpp"  // for Declarations
-#include "jujubehead/core/routing/target_book.hpp"    // for RegistrationChange
-#include "jujubehead/core/runtime_clock.hpp"          // for Duration
-#include "jujubehead/node/control/known_rows.hpp"     // for KnownRows
+#include "jujubehead/core/context/part_directory.hpp"   // for PartEventPage
+#include "jujubehead/core/routing/configuration.hpp"    // for Declarations
+#include "jujubehead/core/routing/target_directory.hpp" // for RegistrationChange
+#include "jujubehead/core/runtime_clock.hpp"            // for Duration
+#include "jujubehead/node/control/row_cache.hpp"        // for RowCache
 
 namespace jujubehead::node {
 
@@ -52,25 +52,26 @@
 };
 
 /// @brief Rows written by the operator.
-struct OperatorNews
+struct OperatorUpdate
 {
   std::uint64_t cursor = 0; ///< For the next ReadChanges().
   /// From another instance's cache, while the store itself did not answer.
-  bool is_recalled = false;
-  core::Instant told{};  ///< Time as of which this was current.
-  core::Instant asked{}; ///< When the request was sent.
+  bool is_from_cache = false;
+  core::Instant answered_at{};  ///< Time as of which this was current.
+  core::Instant requested_at{}; ///< When the request was sent.
   std::optional<core::Declarations> declarations;
   std::vector<core::LoadedModel> wanted; ///< To roll out to all targets.
-  std::vector<std::string> unread; ///< Rows that failed to parse, and why.
+  std::vector<std::string>
+    skipped_rows; ///< Rows that failed to parse, and why.
 };
 
 /// @brief Registrations of targets.
-struct RegistryNews
+struct RegistryUpdate
 {
   std::uint64_t cursor = 0;
-  bool is_recalled = false;                      ///< As in OperatorNews.
+  bool is_from_cache = false;                    ///< As in OperatorUpdate.
   std::vector<core::RegistrationChange> changes; ///< In their order.
-  std::vector<std::string> unread;
+  std::vector<std::string> skipped_rows;
 };
 
 /// @brief A row shared by the instances.
@@ -82,7 +83,7 @@
 };
 
 /// @brief Rows that instances wrote for each other.
-struct SharedNews
+struct SharedUpdate
 {
   std::uint64_t cursor = 0;
   std::vector<SharedRow> rows;
@@ -104,11 +105,11 @@
                                                      core::Duration aWait) = 0;
 };
 
-using OperatorFeed = Feed<OperatorNews>;
-using RegistryFeed = Feed<RegistryNews>;
+using OperatorFeed = Feed<OperatorUpdate>;
+using RegistryFeed = Feed<RegistryUpdate>;
 
 /// @brief Rows shared by the instances; the only state that outlives them.
-class SharedRows : public Feed<SharedNews>
+class SharedRows : public Feed<SharedUpdate>
 {
 public:
   /// @brief Writes a row if it still has the expected version; 0 expects that
@@ -152,10 +153,10 @@
 /// @brief How a target answered an order.
 enum class OrderAnswer : std::uint8_t
 {
-  kAccepted, ///< It is being executed.
-  kHolds,    ///< The target already has these weights.
-  kRefused,  ///< Another order is running or was accepted meanwhile, or
-             ///< the target is another one.
+  kAccepted,      ///< It is being executed.
+  kAlreadyLoaded, ///< The target already has these weights.
+  kRefused,       ///< Another order is running or was accepted meanwhile, or
+                  ///< the target is another one.
 };
 
 /// @brief Client for the weights API of targets.
@@ -172,7 +173,7 @@
 };
 
 /// @brief Parts that a store is to free, unless it has restarted since.
-struct FreeOrder
+struct FreeRequest
 {
   std::uint64_t epoch = 0;
   std::vector<core::ScopedPart> parts;
@@ -189,7 +190,7 @@
   Read(std::string aAddress, std::uint64_t aSince, core::Duration aWait) = 0;
   /// @throws PlatformError.
   virtual boost::asio::awaitable<void> Free(std::string aAddress,
-                                            FreeOrder aOrder) = 0;
+                                            FreeRequest aOrder) = 0;
 };
 
 /// @brief All calls to the platform, on the control thread.
@@ -200,7 +201,7 @@
   std::unique_ptr<SharedRows> shared;
   std::unique_ptr<TargetOrders> orders;
   std::unique_ptr<StoreCalls> stores;
-  std::shared_ptr<KnownRows> known; ///< Cache of the row client.
+  std::shared_ptr<RowCache> row_cache; ///< Cache of the row client.
 };
 
 } // namespace jujubehead::node
--- a/include/jujubehead/node/control/known_rows.hpp
+++ b/include/jujubehead/node/control/row_cache.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_NODE_CONTROL_KNOWN_ROWS_HPP
-#define JUJUBEHEAD_NODE_CONTROL_KNOWN_ROWS_HPP
+#ifndef JUJUBEHEAD_NODE_CONTROL_ROW_CACHE_HPP
+#define JUJUBEHEAD_NODE_CONTROL_ROW_CACHE_HPP
 
 #include <optional> // for optional
 #include <string>   // for string
@@ -11,18 +11,18 @@
 namespace jujubehead::node {
 
 /// @brief Rows that one instance sends to another.
-struct RowNews
+struct RowUpdate
 {
-  std::string bytes;    ///< Opaque; decoded by TakeNews().
+  std::string bytes;    ///< Opaque; decoded by ApplyUpdate().
   core::Duration age{}; ///< Since the store last answered.
 };
 
 /// @brief Cached rows of the operators' store, for other instances: those that
 /// start while the store is unavailable, and those that read from hubs.
-class KnownRows
+class RowCache
 {
 public:
-  virtual ~KnownRows() = default;
+  virtual ~RowCache() = default;
   /// @return the answer to a read from the cache, marked as such; nothing for
   /// other calls or while the cache is empty.
   [[nodiscard]] virtual std::optional<net::HttpResponse> Answer(
@@ -32,7 +32,7 @@
   [[nodiscard]] virtual std::string Cursors() const = 0;
   /// @param aCursors another instance's Cursors().
   /// @return the changes since; nothing until all tables were read.
-  [[nodiscard]] virtual std::optional<RowNews> NewsAfter(
+  [[nodiscard]] virtual std::optional<RowUpdate> UpdateSince(
     const std::string& aCursors,
     core::Instant aNow) const = 0;
   /// @param aAsOf time as of which the rows were current at the store.
@@ -40,9 +40,9 @@
   /// @return whether followers of the rows have unread changes; until they read
   /// them, their data is older than aAsOf.
   /// @throws std::exception on malformed bytes.
-  virtual bool TakeNews(const std::string& aBytes,
-                        core::Instant aAsOf,
-                        core::Instant aRequestedAt) = 0;
+  virtual bool ApplyUpdate(const std::string& aBytes,
+                           core::Instant aAsOf,
+                           core::Instant aRequestedAt) = 0;
   /// @return the store's clock, estimated from its answers and from updates of
   /// other instances.
   [[nodiscard]] virtual const core::RemoteClock& StoreClock() const = 0;
@@ -50,4 +50,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_CONTROL_KNOWN_ROWS_HPP
+#endif // JUJUBEHEAD_NODE_CONTROL_ROW_CACHE_HPP
--- a/include/jujubehead/node/control/store_relay.hpp
+++ b/include/jujubehead/node/control/store_relay.hpp
@@ -10,13 +10,13 @@
 #include "jujubehead/core/runtime_clock.hpp"          // for Duration
 #include "jujubehead/net/http_client.hpp"             // for HttpClient
 #include "jujubehead/net/http_server.hpp"             // for HttpExchange
-#include "jujubehead/node/control/known_rows.hpp"     // for KnownRows
+#include "jujubehead/node/control/row_cache.hpp"      // for RowCache
 
 namespace jujubehead::node {
 
 /// Header with the time that the sender waits for the answer, in whole
 /// milliseconds.
-inline constexpr const char* kRelayTimeLine = "Relay-Time";
+inline constexpr const char* kRelayTimeoutHeader = "Relay-Time";
 
 /// @brief Forwards requests of other instances unchanged to the operators'
 /// store, while this instance reaches the store directly.
@@ -28,7 +28,7 @@
 public:
   StoreRelay(boost::asio::io_context& aContext,
              const core::StorePaths& aPaths,
-             const KnownRows& aKnown);
+             const RowCache& aKnown);
 
   boost::asio::awaitable<void> Handle(net::HttpExchange& aExchange);
 
@@ -38,7 +38,7 @@
 
   std::unique_ptr<net::HttpClient> m_client;
   const core::StorePaths& m_paths;
-  const KnownRows& m_known;
+  const RowCache& m_known;
   bool m_was_refused = false; ///< The last request was refused; for the log.
 };
 
--- a/include/jujubehead/node/entry.hpp
+++ b/include/jujubehead/node/entry.hpp
@@ -7,8 +7,8 @@
 
 #include "jujubehead/core/membership/store_paths.hpp" // for StorePaths
 #include "jujubehead/node/control/platform.hpp"       // for Platform
-#include "jujubehead/node/forward/dialect.hpp"        // for Dialect
 #include "jujubehead/node/forward/entry_options.hpp"  // for EntryOptions
+#include "jujubehead/node/forward/header_codec.hpp"   // for HeaderCodec
 
 namespace jujubehead::node {
 
@@ -21,7 +21,7 @@
 /// @return the exit code.
 int
 RunEntry(const EntryOptions& aOptions,
-         const Dialect& aDialect,
+         const HeaderCodec& aHeaderCodec,
          const MakePlatform& aMakePlatform);
 
 } // namespace jujubehead::node
--- a/include/jujubehead/node/forward/entry_options.hpp
+++ b/include/jujubehead/node/forward/entry_options.hpp
@@ -5,10 +5,10 @@
 #include <string>  // for string
 #include <vector>  // for vector
 
-#include "jujubehead/core/ids.hpp"                   // for InstanceId
-#include "jujubehead/core/routing/repeat_budget.hpp" // for RepeatBudgetOptions
-#include "jujubehead/core/routing/target_book.hpp"   // for TargetBookOptions
-#include "jujubehead/core/runtime_clock.hpp"         // for Duration
+#include "jujubehead/core/ids.hpp"                      // for InstanceId
+#include "jujubehead/core/routing/target_directory.hpp" // for TargetDirectoryOptions
+#include "jujubehead/core/routing/windowed_retry_budget.hpp" // for WindowedRetryBudgetOptions
+#include "jujubehead/core/runtime_clock.hpp"                 // for Duration
 
 namespace jujubehead::node {
 
@@ -29,8 +29,8 @@
   std::vector<std::string> relay_seeds;
   /// Capacity of this machine relative to other instances'; 0: not specified.
   double capacity = 0;
-  core::RepeatBudgetOptions repeats;
-  core::TargetBookOptions registry;
+  core::WindowedRetryBudgetOptions repeats;
+  core::TargetDirectoryOptions registry;
   /// Longest time between SIGTERM and exit.
   core::Duration stop_grace = std::chrono::seconds(8);
   /// Least time between orders of different instances to targets.
--- a/include/jujubehead/node/forward/dialect.hpp
+++ b/include/jujubehead/node/forward/header_codec.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_NODE_FORWARD_DIALECT_HPP
-#define JUJUBEHEAD_NODE_FORWARD_DIALECT_HPP
+#ifndef JUJUBEHEAD_NODE_FORWARD_HEADER_CODEC_HPP
+#define JUJUBEHEAD_NODE_FORWARD_HEADER_CODEC_HPP
 
 #include <cstdint>     // for uint32_t, uint64_t
 #include <optional>    // for optional
@@ -17,7 +17,7 @@
 namespace jujubehead::node {
 
 /// @brief Values of a caller's request headers.
-struct CallerFacts
+struct CallerMetadata
 {
   std::string request_id;                  ///< May be empty.
   std::optional<std::string> key;          ///< API key of a client account.
@@ -27,7 +27,7 @@
 };
 
 /// @brief Where a part of a prompt may be read from or is to be stored.
-struct PartPlace
+struct PartLocation
 {
   std::string address;      ///< `ip:port` of a store; empty: none.
   std::uint64_t tokens = 0; ///< Complete tokens held there.
@@ -43,15 +43,15 @@
   std::optional<std::uint64_t> weight_version;
   /// Requests of the same scope share cached parts; empty: no sharing.
   std::string cache_scope;
-  std::vector<PartPlace> read_from; ///< For each part; may be empty.
+  std::vector<PartLocation> read_from; ///< For each part; may be empty.
   /// Deadline of reads by the targets' clock, in ms; later ones are discarded.
-  std::optional<std::int64_t> read_until_ms;
-  std::vector<PartPlace> keep_at; ///< For each part; may be empty.
-  std::string resume_after;       ///< Empty: from the beginning.
+  std::optional<std::int64_t> read_deadline_ms;
+  std::vector<PartLocation> store_at; ///< For each part; may be empty.
+  std::string resume_after;           ///< Empty: from the beginning.
 };
 
 /// @brief Values of a target's reply headers.
-struct ReplyFacts
+struct ReplyMetadata
 {
   bool is_signed = false; ///< Carries a signature of the target.
   bool not_run = false;   ///< The request has not run and will not run.
@@ -64,30 +64,30 @@
 
 /// @brief Parses and formats the header lines between callers, instances and
 /// targets. Names and formats only; it makes no decisions.
-class Dialect
+class HeaderCodec
 {
 public:
-  virtual ~Dialect() = default;
+  virtual ~HeaderCodec() = default;
 
   /// @return the parsed values, or the reason why they are invalid.
-  [[nodiscard]] virtual core::Checked<CallerFacts> ReadCaller(
+  [[nodiscard]] virtual core::Checked<CallerMetadata> ParseCallerHeaders(
     const net::HttpHeaders& aHeaders) const = 0;
-  [[nodiscard]] virtual ReplyFacts ReadReply(
+  [[nodiscard]] virtual ReplyMetadata ParseReplyHeaders(
     const net::MessageHead& aHead) const = 0;
   /// @return the header lines sent to a target with a request.
-  [[nodiscard]] virtual net::HttpHeaders LinesOf(
+  [[nodiscard]] virtual net::HttpHeaders CallHeaders(
     const TargetCall& aCall) const = 0;
   /// @return the header lines of a response that no target produced.
-  [[nodiscard]] virtual net::HttpHeaders LinesOfOwnAnswer(
+  [[nodiscard]] virtual net::HttpHeaders LocalReplyHeaders(
     const std::string& aRequestId) const = 0;
 
   /// @return whether only the system may set a line; callers' are dropped.
-  [[nodiscard]] virtual bool IsSetHere(std::string_view aName) const = 0;
+  [[nodiscard]] virtual bool IsReserved(std::string_view aName) const = 0;
   /// @return whether a line is end-to-end, so that a caller cannot have it
   /// dropped by naming it in `Connection`.
-  [[nodiscard]] virtual bool BelongsToRequest(std::string_view aName) const = 0;
+  [[nodiscard]] virtual bool IsEndToEnd(std::string_view aName) const = 0;
 };
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_FORWARD_DIALECT_HPP
+#endif // JUJUBEHEAD_NODE_FORWARD_HEADER_CODEC_HPP
--- a/include/jujubehead/wire/codec.hpp
+++ b/include/jujubehead/wire/codec.hpp
@@ -17,7 +17,7 @@
   using std::runtime_error::runtime_error;
 };
 
-/// @brief Encodes an envelope as CBOR: `[type, call, is_answer, [fields...]]`.
+/// @brief Encodes an envelope as CBOR: `[type, call, is_reply, [fields...]]`.
 std::vector<std::uint8_t>
 Encode(const Envelope& aEnvelope);
 
--- a/include/jujubehead/wire/messages.hpp
+++ b/include/jujubehead/wire/messages.hpp
@@ -8,7 +8,7 @@
 #include <vector>  // for vector
 
 #include "jujubehead/core/ids.hpp"           // for TargetId, AccountId
-#include "jujubehead/core/ownership.hpp"     // for HandedOver, LeaseRenew
+#include "jujubehead/core/ownership.hpp"     // for GroupHandover, LeaseRenew
 #include "jujubehead/core/permit.hpp"        // for PermitId, HeldPermit
 #include "jujubehead/core/runtime_clock.hpp" // for Duration
 
@@ -20,7 +20,7 @@
 namespace jujubehead::wire {
 
 /// @brief Entry to owner: requests the expected wait at these targets.
-struct QuoteAsk
+struct QuoteRequest
 {
   core::AccountId account;
   std::string version; ///< Weight version that the request needs.
@@ -59,7 +59,7 @@
 };
 
 /// @brief Owner to entry: quotes for the requested targets that it owns.
-struct QuoteAnswer
+struct QuoteReply
 {
   std::vector<TargetQuote> quotes;
 
@@ -71,9 +71,9 @@
 };
 
 /// @brief Entry to owner: requests admission to the target. Resent while the
-/// request waits; idempotent by `request`. PermitAnswer comes as a separate
+/// request waits; idempotent by `request`. PermitReply comes as a separate
 /// message, not as the reply to a call.
-struct PermitAsk
+struct PermitAcquire
 {
   core::TargetId target;
   core::RequestId request;
@@ -98,7 +98,7 @@
   }
 };
 
-/// @brief The owner's decision on a PermitAsk.
+/// @brief The owner's decision on a PermitAcquire.
 enum class PermitOutcome : std::uint8_t
 {
   kGranted,
@@ -106,8 +106,8 @@
   kNotOwner, ///< Retry at the owner in the ownership rows.
 };
 
-/// @brief Owner to entry: the decision on a PermitAsk, sent once made.
-struct PermitAnswer
+/// @brief Owner to entry: the decision on a PermitAcquire, sent once made.
+struct PermitReply
 {
   core::TargetId target;
   core::RequestId request;
@@ -116,7 +116,7 @@
   std::uint64_t number = 0; ///< Number of the permit within its epoch.
   std::uint8_t reason = 0;  ///< core::RefusalReason.
   core::Duration retry_after{};
-  std::uint64_t mark = 0; ///< Echoed from the latest PermitAsk.
+  std::uint64_t mark = 0; ///< Echoed from the latest PermitAcquire.
 
   template<typename Self>
   static auto Fields(Self& aSelf)
@@ -160,7 +160,7 @@
 };
 
 /// @brief Entry to owner: the run under this permit has ended. If the message
-/// is lost, HoldingsAsk finds the ended run.
+/// is lost, HoldingsRequest finds the ended run.
 struct PermitRelease
 {
   core::TargetId target;
@@ -184,7 +184,7 @@
 
 /// @brief Entry to directory owner: requests the holders of a prefix of this
 /// context.
-struct HoldersAsk
+struct HoldersRequest
 {
   std::vector<std::string> keys; ///< Context keys as raw bytes, shortest first.
 
@@ -225,7 +225,7 @@
 
 /// @brief Directory owner to entry. The entries are hints: a wrong one only
 /// adds latency.
-struct HoldersAnswer
+struct HoldersReply
 {
   std::vector<TargetHolder> targets;
   std::vector<StoreHolder> stores;
@@ -281,7 +281,7 @@
 };
 
 /// @brief Starting instance to a peer: requests a page of the current table.
-struct TableAsk
+struct TablePageRequest
 {
   std::uint64_t version = 0; ///< Of the earlier pages; 0: current version.
   std::uint64_t offset = 0;  ///< Bytes already received.
@@ -294,7 +294,7 @@
 };
 
 /// @brief Peer to starting instance: a page of a serialised table snapshot.
-struct TableAnswer
+struct TablePageReply
 {
   std::uint64_t version = 0; ///< 0: the version is no longer available.
   std::uint64_t size = 0;    ///< Bytes of the whole snapshot.
@@ -308,8 +308,8 @@
 };
 
 /// @brief Owner to entry: requests the permits of this target that the entry
-/// holds. The reply is HoldingsAnswer.
-struct HoldingsAsk
+/// holds. The reply is HoldingsReply.
+struct HoldingsRequest
 {
   core::TargetId target;
   core::PermitId up_to;
@@ -322,7 +322,7 @@
 };
 
 /// @brief Entry to owner: all permits that it holds, up to `up_to`.
-struct HoldingsAnswer
+struct HoldingsReply
 {
   core::TargetId target;
   core::PermitId up_to;
@@ -338,7 +338,7 @@
 
 /// @brief Entry to a store's owner: a target now holds this context; the owner
 /// decides whether a stored copy is worth its cost.
-struct KeepOffer
+struct ExportOffer
 {
   core::StoreId store;
   core::TargetId target;
@@ -363,7 +363,7 @@
 
 /// @brief Entry to a store's owner: requests the expected wait for an import
 /// over its link.
-struct LinkAsk
+struct LinkQuoteRequest
 {
   core::StoreId store;
   core::AccountId account;
@@ -414,33 +414,33 @@
 };
 
 /// @brief Any message. The index is the type on the wire: append only.
-using Message = std::variant<QuoteAsk,
-                             QuoteAnswer,
-                             PermitAsk,
-                             PermitAnswer,
+using Message = std::variant<QuoteRequest,
+                             QuoteReply,
+                             PermitAcquire,
+                             PermitReply,
                              PermitWithdraw,
                              PermitStarted,
                              PermitRelease,
-                             HoldersAsk,
-                             HoldersAnswer,
+                             HoldersRequest,
+                             HoldersReply,
                              TargetHint,
                              StoreHint,
                              TableHead,
-                             TableAsk,
-                             TableAnswer,
+                             TablePageRequest,
+                             TablePageReply,
                              Ack,
-                             HoldingsAsk,
-                             HoldingsAnswer,
-                             core::HandedOver,
+                             HoldingsRequest,
+                             HoldingsReply,
+                             core::GroupHandover,
                              core::LeaseRenew,
                              core::LeaseAck,
                              core::LeaseResign,
                              core::VoteRequest,
                              core::VoteReply,
-                             core::OwnersAnnounce,
-                             core::OwnersAsk,
-                             KeepOffer,
-                             LinkAsk,
+                             core::OwnersAnnouncement,
+                             core::OwnersQuery,
+                             ExportOffer,
+                             LinkQuoteRequest,
                              LinkQuote,
                              CopyMissing>;
 
@@ -449,7 +449,7 @@
 {
   /// Id chosen by the caller; 0: no reply is expected.
   std::uint64_t call = 0;
-  bool is_answer = false;
+  bool is_reply = false;
   Message message;
 };
 
--- a/src/jujubehead/app/command_line.cpp
+++ b/src/jujubehead/app/command_line.cpp
@@ -213,7 +213,7 @@
     if (colon == std::string::npos) {
       return { core::StopKind::kTarget, m_argument };
     }
-    const auto kind = core::StopKindOf(m_argument.substr(0, colon));
+    const auto kind = core::ParseStopKind(m_argument.substr(0, colon));
     if (!kind) {
       m_check.AddArgument("unknown kind '" + m_argument.substr(0, colon) + "'",
                           "target, store, service or instance");
--- a/src/jujubehead/app/main.cpp
+++ b/src/jujubehead/app/main.cpp
@@ -7,10 +7,10 @@
 #include "command_line.hpp" // for ReadCommandLine
 #include "run.hpp"          // for Run
 
-#include "jujubehead/node/entry.hpp" // for RunEntry
-#include "jujubehead/node/serve.hpp" // for Serve
-#include "platform/connect.hpp"      // for Connect
-#include "platform/header_lines.hpp" // for HeaderLines
+#include "jujubehead/node/entry.hpp"          // for RunEntry
+#include "jujubehead/node/serve.hpp"          // for Serve
+#include "platform/connect.hpp"               // for Connect
+#include "platform/platform_header_codec.hpp" // for PlatformHeaderCodec
 
 namespace {
 
@@ -38,8 +38,8 @@
 int
 RunEntry(const node::EntryOptions& aOptions)
 {
-  const platform::HeaderLines dialect;
-  return node::RunEntry(aOptions, dialect, platform::Connect);
+  const platform::PlatformHeaderCodec header_codec;
+  return node::RunEntry(aOptions, header_codec, platform::Connect);
 }
 
 } // namespace
--- a/src/jujubehead/app/run_drain.cpp
+++ b/src/jujubehead/app/run_drain.cpp
@@ -63,7 +63,7 @@
       net::Publish(m_platform->Log(), std::move(publish), m_sleep));
     if (const auto* published = std::get_if<core::Published>(&end)) {
       m_version = published->version;
-    } else if (const auto* same = std::get_if<core::AlreadyInForce>(&end)) {
+    } else if (const auto* same = std::get_if<core::AlreadyApplied>(&end)) {
       m_version = same->version;
     }
     return end;
--- a/src/jujubehead/app/run_table.cpp
+++ b/src/jujubehead/app/run_table.cpp
@@ -133,7 +133,7 @@
     tools.out << "in force as version " << aEnd.version << '\n';
     return ExitCode::kDone;
   }
-  ExitCode operator()(const core::AlreadyInForce& aEnd) const
+  ExitCode operator()(const core::AlreadyApplied& aEnd) const
   {
     tools.out << "nothing to change: version " << aEnd.version
               << " has all of it\n";
@@ -158,7 +158,7 @@
   ExitCode operator()(const core::GaveUp& aEnd) const
   {
     tools.err << aEnd.why << '\n';
-    if (aEnd.may_be_in_force) {
+    if (aEnd.may_be_applied) {
       tools.err << "the change may or may not be in force; run the same "
                    "command again to settle it\n";
       return ExitCode::kUnknown;
--- a/src/jujubehead/core/candidates_test.cpp
+++ b/src/jujubehead/core/candidates_test.cpp
@@ -37,7 +37,7 @@
 {
   const std::vector<PrefixHint> hints{
     { TargetId("gone"), 9, std::nullopt },
-    { StoreId("s"), 8, CopyName{ "h", 1 } },
+    { StoreId("s"), 8, CopyId{ "h", 1 } },
     { TargetId("t3"), 7, std::nullopt },
   };
   const auto picked = PickCandidates(hints, Root(1), Targets(9), 0);
--- a/src/jujubehead/core/change_log.cpp
+++ b/src/jujubehead/core/change_log.cpp
@@ -128,7 +128,7 @@
 }
 
 std::optional<StopKind>
-StopKindOf(std::string_view aName)
+ParseStopKind(std::string_view aName)
 {
   const auto found =
     std::find(kStopKindNames.begin(), kStopKindNames.end(), aName);
@@ -165,13 +165,13 @@
   return core::FindStop(*m_current, aSubject);
 }
 
-Applied
+ApplyResult
 TableView::Apply(const ChangeEntry& aEntry)
 {
   return Apply(std::span(&aEntry, 1));
 }
 
-Applied
+ApplyResult
 TableView::Apply(std::span<const ChangeEntry> aEntries)
 {
   std::uint64_t version = Version();
@@ -193,19 +193,19 @@
     m_current = std::make_shared<const TableSnapshot>(builder.Take());
   }
   if (gap) {
-    return Applied::kGap;
+    return ApplyResult::kGap;
   }
-  return moved ? Applied::kInForce : Applied::kOld;
+  return moved ? ApplyResult::kAdvanced : ApplyResult::kStale;
 }
 
-Applied
+ApplyResult
 TableView::Replace(TableSnapshot aSnapshot)
 {
   if (aSnapshot.version <= Version()) {
-    return Applied::kOld;
+    return ApplyResult::kStale;
   }
   m_current = std::make_shared<const TableSnapshot>(std::move(aSnapshot));
-  return Applied::kInForce;
+  return ApplyResult::kAdvanced;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/change_log_codec.cpp
+++ b/src/jujubehead/core/change_log_codec.cpp
@@ -28,7 +28,7 @@
 StopSubject
 SubjectOf(const Json& aJson)
 {
-  const auto kind = StopKindOf(aJson.at(0).get_ref<const std::string&>());
+  const auto kind = ParseStopKind(aJson.at(0).get_ref<const std::string&>());
   if (!kind) {
     throw Malformed();
   }
--- a/src/jujubehead/core/change_log_test.cpp
+++ b/src/jujubehead/core/change_log_test.cpp
@@ -64,13 +64,13 @@
 {
   TableView view;
   const auto entries = MakeEntries();
-  CHECK(view.Apply(entries[1]) == Applied::kGap);
+  CHECK(view.Apply(entries[1]) == ApplyResult::kGap);
   CHECK_EQUAL(0U, view.Version());
-  CHECK(view.Apply(entries[0]) == Applied::kInForce);
-  CHECK(view.Apply(entries[0]) == Applied::kOld);
-  CHECK(view.Apply(entries[1]) == Applied::kInForce);
+  CHECK(view.Apply(entries[0]) == ApplyResult::kAdvanced);
+  CHECK(view.Apply(entries[0]) == ApplyResult::kStale);
+  CHECK(view.Apply(entries[1]) == ApplyResult::kAdvanced);
   CHECK(view.FindStop(kTarget) != nullptr);
-  CHECK(view.Apply(std::span(entries).subspan(1)) == Applied::kInForce);
+  CHECK(view.Apply(std::span(entries).subspan(1)) == ApplyResult::kAdvanced);
   CHECK_EQUAL(4U, view.Version());
   CHECK(view.FindStop(kTarget) == nullptr);
   CHECK(view.Current()->table.Find(AccountId("a"), ModelId("m")) == nullptr);
@@ -83,7 +83,7 @@
   TableView view;
   auto entries = MakeEntries();
   entries.erase(entries.begin() + 2);
-  CHECK(view.Apply(entries) == Applied::kGap);
+  CHECK(view.Apply(entries) == ApplyResult::kGap);
   CHECK_EQUAL(2U, view.Version());
 }
 
@@ -93,10 +93,10 @@
   view.Apply(MakeEntries());
   TableSnapshot old;
   old.version = 3;
-  CHECK(view.Replace(old) == Applied::kOld);
+  CHECK(view.Replace(old) == ApplyResult::kStale);
   CHECK_EQUAL(4U, view.Version());
   old.version = 9;
-  CHECK(view.Replace(old) == Applied::kInForce);
+  CHECK(view.Replace(old) == ApplyResult::kAdvanced);
   CHECK_EQUAL(0U, view.Current()->table.Rows().size());
 }
 
--- a/src/jujubehead/core/claims.cpp
+++ b/src/jujubehead/core/claims.cpp
@@ -92,7 +92,7 @@
 {
   // Scans all: claims that were queued again break the order of arrival.
   std::erase_if(m_waiting, [&](const Attempt& aAttempt) {
-    const bool expired = aNow >= aAttempt.since + m_rules.patience;
+    const bool expired = aNow >= aAttempt.since + m_rules.settle_timeout;
     if (expired) {
       Fail(aAttempt);
     }
@@ -170,7 +170,7 @@
     }
     return;
   }
-  if (aNow >= aAttempt.since + m_rules.patience) {
+  if (aNow >= aAttempt.since + m_rules.settle_timeout) {
     Fail(aAttempt);
     return;
   }
--- a/src/jujubehead/core/context/part_directory.cpp
+++ b/src/jujubehead/core/context/part_directory.cpp
@@ -32,7 +32,7 @@
                       Instant aAnswered)
 {
   Store& store = m_stores[aStore];
-  if (store.epoch != aPage.epoch || aPage.is_all) {
+  if (store.epoch != aPage.epoch || aPage.is_snapshot) {
     store = Store{};
     store.epoch = aPage.epoch;
   }
@@ -43,7 +43,7 @@
     store.total_tokens -= tokens;
     tokens = event.tokens;
     store.total_tokens += tokens;
-    if (!event.is_kept || tokens == 0) {
+    if (!event.is_stored || tokens == 0) {
       store.total_tokens -= tokens;
       store.tokens.erase(key);
     }
@@ -51,7 +51,7 @@
 }
 
 void
-PartDirectory::OnSilence(const StoreId& aStore)
+PartDirectory::OnNoResponse(const StoreId& aStore)
 {
   const auto found = m_stores.find(aStore);
   if (found != m_stores.end()) {
@@ -106,7 +106,7 @@
                         std::string_view aPart,
                         Instant aNow) const
 {
-  if (!IsPresent(aStore, aNow)) {
+  if (!IsReachable(aStore, aNow)) {
     return 0;
   }
   const Store& store = m_stores.at(aStore);
@@ -115,7 +115,7 @@
 }
 
 bool
-PartDirectory::IsPresent(const StoreId& aStore, Instant aNow) const
+PartDirectory::IsReachable(const StoreId& aStore, Instant aNow) const
 {
   const auto found = m_stores.find(aStore);
   return found != m_stores.end() && found->second.last_answer &&
@@ -153,7 +153,7 @@
 }
 
 std::uint64_t
-PartDirectory::TokensKept(const StoreId& aStore) const
+PartDirectory::TokensStored(const StoreId& aStore) const
 {
   const auto found = m_stores.find(aStore);
   return found == m_stores.end() ? 0 : found->second.total_tokens;
--- a/src/jujubehead/core/context/part_directory_test.cpp
+++ b/src/jujubehead/core/context/part_directory_test.cpp
@@ -39,12 +39,12 @@
   page.epoch = 3;
   page.events = { { "s", "a", 10, true }, { "s", "b", 10, true } };
   directory.OnPage(StoreId("one"), page, now);
-  page.is_all = true;
+  page.is_snapshot = true;
   page.events = { { "s", "b", 10, true } };
   directory.OnPage(StoreId("one"), page, now);
   LONGS_EQUAL(0, directory.TokensAt(StoreId("one"), "s", "a", now));
   LONGS_EQUAL(10, directory.TokensAt(StoreId("one"), "s", "b", now));
-  LONGS_EQUAL(10, directory.TokensKept(StoreId("one")));
+  LONGS_EQUAL(10, directory.TokensStored(StoreId("one")));
 }
 
 TEST(PartDirectory, PartIsKnownOnceItsStoreReportsIt)
@@ -53,10 +53,10 @@
   LONGS_EQUAL(0, Tokens());
   directory.OnPage(store, Page(1, { { "scope", "part", 800, true } }), now);
   LONGS_EQUAL(800, Tokens());
-  LONGS_EQUAL(800, directory.TokensKept(store));
+  LONGS_EQUAL(800, directory.TokensStored(store));
   directory.OnPage(store, Page(1, { { "scope", "part", 0, false } }), now);
   LONGS_EQUAL(0, Tokens());
-  LONGS_EQUAL(0, directory.TokensKept(store));
+  LONGS_EQUAL(0, directory.TokensStored(store));
 }
 
 TEST(PartDirectory, RestartedStoreHasNoParts)
@@ -73,7 +73,7 @@
   LONGS_EQUAL(0, Tokens());
   directory.OnPage(store, Page(1, {}), now);
   LONGS_EQUAL(800, Tokens());
-  directory.OnSilence(store);
+  directory.OnNoResponse(store);
   LONGS_EQUAL(0, Tokens());
 }
 
@@ -89,7 +89,7 @@
   const auto old = directory.PartsWhere(store, 10, is_old);
   LONGS_EQUAL(2, old.size());
   directory.Drop(store, old);
-  LONGS_EQUAL(30, directory.TokensKept(store));
+  LONGS_EQUAL(30, directory.TokensStored(store));
   CHECK(directory.PartsWhere(store, 10, is_old).empty());
 }
 
@@ -125,5 +125,5 @@
   directory.DropWhere([](std::string_view aScope) { return aScope == "old"; });
   LONGS_EQUAL(0, directory.TokensAt(store, "old", "a", now));
   LONGS_EQUAL(800, Tokens());
-  LONGS_EQUAL(800, directory.TokensKept(store));
+  LONGS_EQUAL(800, directory.TokensStored(store));
 }
--- a/src/jujubehead/core/context/part_log.cpp
+++ b/src/jujubehead/core/context/part_log.cpp
@@ -30,14 +30,15 @@
   }
   store.last_answer = aNow;
   for (const PartEvent& event : aPage.events) {
-    Put(store,
-        { aStore, event.scope, event.part, event.is_kept ? event.tokens : 0 });
+    Put(
+      store,
+      { aStore, event.scope, event.part, event.is_stored ? event.tokens : 0 });
   }
   DropOldestRemoved();
 }
 
 void
-PartLog::OnSilence(const StoreId& aStore)
+PartLog::OnNoResponse(const StoreId& aStore)
 {
   const auto found = m_stores.find(aStore);
   if (found != m_stores.end()) {
@@ -102,31 +103,31 @@
   }
 }
 
-PartNews
+PartLogPage
 PartLog::ReadAfter(const PartCursor& aCursor, Instant aNow) const
 {
-  PartNews page;
-  page.is_all =
+  PartLogPage page;
+  page.is_snapshot =
     aCursor.next == 0 || aCursor.since < m_dropped || aCursor.next > m_last;
   for (const auto& [id, store] : m_stores) {
     const Duration age =
-      store.last_answer ? aNow - *store.last_answer : kSilentAge;
+      store.last_answer ? aNow - *store.last_answer : kUnreachableAge;
     page.stores.push_back({ id, store.epoch, age });
   }
   page.cursor.next = m_last;
   auto change =
-    page.is_all ? m_changes.begin() : m_changes.upper_bound(aCursor.next);
+    page.is_snapshot ? m_changes.begin() : m_changes.upper_bound(aCursor.next);
   for (; change != m_changes.end(); ++change) {
     if (page.changes.size() == m_options.max_page_size) {
       page.cursor.next = std::prev(change)->first;
       page.has_more = true;
       break;
     }
-    if (!page.is_all || change->second.tokens > 0) {
+    if (!page.is_snapshot || change->second.tokens > 0) {
       page.changes.push_back(change->second);
     }
   }
-  const bool is_partial = page.has_more && !page.is_all;
+  const bool is_partial = page.has_more && !page.is_snapshot;
   page.cursor.since = is_partial ? aCursor.since : m_last;
   return page;
 }
--- a/src/jujubehead/core/context/part_log_test.cpp
+++ b/src/jujubehead/core/context/part_log_test.cpp
@@ -38,13 +38,13 @@
   }
   void Read(const PartLog& aLog)
   {
-    const PartNews page = aLog.ReadAfter(cursor, kNow);
+    const PartLogPage page = aLog.ReadAfter(cursor, kNow);
     cursor = page.cursor;
     has_more = page.has_more;
-    if (page.is_all) {
+    if (page.is_snapshot) {
       parts.clear();
     }
-    for (const HeardStore& store : page.stores) {
+    for (const StoreStatus& store : page.stores) {
       if (store.epoch != epoch) {
         parts.clear();
         epoch = store.epoch;
@@ -71,14 +71,14 @@
 {
   PartLog log;
   log.OnPage(store, Page(7, { { "w1", "a", 100, true } }), kNow);
-  const PartNews first = log.ReadAfter({}, kNow + milliseconds(20));
-  CHECK(first.is_all);
+  const PartLogPage first = log.ReadAfter({}, kNow + milliseconds(20));
+  CHECK(first.is_snapshot);
   LONGS_EQUAL(1, first.changes.size());
   LONGS_EQUAL(7, first.stores.at(0).epoch);
   CHECK(first.stores.at(0).age == milliseconds(20));
   log.OnPage(store, Page(7, { { "w1", "b", 50, true } }), kNow);
-  const PartNews second = log.ReadAfter(first.cursor, kNow);
-  CHECK_FALSE(second.is_all);
+  const PartLogPage second = log.ReadAfter(first.cursor, kNow);
+  CHECK_FALSE(second.is_snapshot);
   LONGS_EQUAL(1, second.changes.size());
   STRCMP_EQUAL("b", second.changes.at(0).part.c_str());
 }
@@ -87,8 +87,8 @@
 {
   PartLog log;
   log.OnPage(store, Page(7, {}), kNow);
-  log.OnSilence(store);
-  CHECK(log.ReadAfter({}, kNow).stores.at(0).age == kSilentAge);
+  log.OnNoResponse(store);
+  CHECK(log.ReadAfter({}, kNow).stores.at(0).age == kUnreachableAge);
   log.OnPage(store, Page(7, {}), kNow);
   CHECK(log.ReadAfter({}, kNow).stores.at(0).age == milliseconds(0));
 }
@@ -107,8 +107,8 @@
   const PartCursor cursor = log.ReadAfter({}, kNow).cursor;
   log.OnPage(
     store, Page(7, { { "w1", "a", 0, false }, { "w1", "b", 0, false } }), kNow);
-  const PartNews page = log.ReadAfter(cursor, kNow);
-  CHECK(page.is_all);
+  const PartLogPage page = log.ReadAfter(cursor, kNow);
+  CHECK(page.is_snapshot);
   LONGS_EQUAL(1, page.changes.size());
   STRCMP_EQUAL("c", page.changes.at(0).part.c_str());
 }
@@ -143,7 +143,7 @@
 {
   PartLog log;
   log.OnPage(store, Page(7, { { "w1", "a", 100, true } }), kNow);
-  CHECK(log.ReadAfter({ 999, 999 }, kNow).is_all);
+  CHECK(log.ReadAfter({ 999, 999 }, kNow).is_snapshot);
 }
 
 TEST(PartLog, ReadersConvergeToTheStoresParts)
@@ -212,8 +212,8 @@
   LONGS_EQUAL(kMany + 1, follower.parts.size());
   log.DropWhere([](std::string_view aScope) { return aScope == "old"; });
   log.OnPage(store, Page(1, removed), kNow);
-  const PartNews page = log.ReadAfter(follower.cursor, kNow);
-  CHECK_FALSE(page.is_all);
+  const PartLogPage page = log.ReadAfter(follower.cursor, kNow);
+  CHECK_FALSE(page.is_snapshot);
   CHECK(page.changes.empty());
   Follower newcomer;
   newcomer.ReadToEnd(log);
--- a/src/jujubehead/core/context/part_uses.cpp
+++ b/src/jujubehead/core/context/prefix_popularity.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/part_uses.hpp"
+#include "jujubehead/core/context/prefix_popularity.hpp"
 
 #include <chrono> // for duration
 #include <cmath>  // for exp
@@ -16,7 +16,7 @@
 } // namespace
 
 double
-PartUses::OnUse(std::string_view aPart, Instant aNow)
+PrefixPopularity::CountUse(std::string_view aPart, Instant aNow)
 {
   if (aNow - m_last_eviction > kEvictionAge) {
     EvictUnused(aNow);
@@ -29,7 +29,7 @@
 }
 
 void
-PartUses::EvictUnused(Instant aNow)
+PrefixPopularity::EvictUnused(Instant aNow)
 {
   std::erase_if(m_parts, [&](const auto& aEntry) {
     return aNow - aEntry.second.last > kEvictionAge;
--- a/src/jujubehead/core/context/part_uses_test.cpp
+++ b/src/jujubehead/core/context/prefix_popularity_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/part_uses.hpp"
+#include "jujubehead/core/context/prefix_popularity.hpp"
 
 #include <string> // for to_string
 
@@ -8,30 +8,30 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_GROUP(PartUses)
+TEST_GROUP(PrefixPopularity)
 {
-  PartUses uses;
+  PrefixPopularity uses;
   Instant now = RuntimeClock::now();
 };
 
-TEST(PartUses, RateFollowsUses)
+TEST(PrefixPopularity, RateFollowsUses)
 {
   double rate = 0;
   for (int i = 0; i < 200; ++i) {
     now += milliseconds(250);
-    rate = uses.OnUse("often", now);
+    rate = uses.CountUse("often", now);
   }
   DOUBLES_EQUAL(4, rate, 0.5);
-  CHECK(uses.OnUse("rare", now) < 0.5);
+  CHECK(uses.CountUse("rare", now) < 0.5);
   now += seconds(10);
-  CHECK(uses.OnUse("often", now) < 1);
+  CHECK(uses.CountUse("often", now) < 1);
 }
 
-TEST(PartUses, UnusedPartsAreEvicted)
+TEST(PrefixPopularity, UnusedPartsAreEvicted)
 {
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(20);
-    uses.OnUse("p" + std::to_string(i), now);
+    uses.CountUse("p" + std::to_string(i), now);
   }
   // Eviction runs every 15 s and removes parts unused for 15 s, so at most the
   // parts of the last 30 s are left.
--- a/src/jujubehead/core/context/store_link.cpp
+++ b/src/jujubehead/core/context/store_link.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 void
-TrafficShare::OnLook(double aOwn, double aAll)
+TrafficShare::AddSample(double aOwn, double aAll)
 {
   m_own += kSampleWeight * (aOwn - m_own);
   m_all += kSampleWeight * (aAll - m_all);
@@ -74,7 +74,7 @@
 }
 
 bool
-IsWorthReading(const TransferOffer& aOffer)
+ShouldRead(const TransferEstimate& aOffer)
 {
   const auto total =
     static_cast<double>((aOffer.wait + aOffer.transfer).count());
@@ -83,7 +83,7 @@
 }
 
 bool
-IsWorthKeeping(const TransferOffer& aOffer)
+ShouldWrite(const TransferEstimate& aOffer)
 {
   return aOffer.wait <= aOffer.objective;
 }
--- a/src/jujubehead/core/context/store_link_test.cpp
+++ b/src/jujubehead/core/context/store_link_test.cpp
@@ -52,11 +52,11 @@
   {
     const double share = 1.0 / static_cast<double>(m_instances.size());
     StoreLink& link = m_instances[aInstance];
-    TransferOffer offer;
+    TransferEstimate offer;
     offer.wait = link.Wait(share, m_now);
     offer.transfer = kTransfer;
     offer.objective = milliseconds(600);
-    if (m_is_bounded && !IsWorthReading(offer)) {
+    if (m_is_bounded && !ShouldRead(offer)) {
       return;
     }
     link.Add(kTransfer, share, m_now);
@@ -103,14 +103,14 @@
 
 TEST(StoreLink, WritesHaveLowerPriorityThanReads)
 {
-  TransferOffer offer;
+  TransferEstimate offer;
   offer.objective = milliseconds(600);
   offer.wait = milliseconds(700);
   offer.transfer = milliseconds(50);
-  CHECK(IsWorthReading(offer));
-  CHECK_FALSE(IsWorthKeeping(offer));
+  CHECK(ShouldRead(offer));
+  CHECK_FALSE(ShouldWrite(offer));
   offer.wait = milliseconds(1200);
-  CHECK_FALSE(IsWorthReading(offer));
+  CHECK_FALSE(ShouldRead(offer));
 }
 
 TEST(StoreLink, LinkTimeFollowsDeclaredRate)
@@ -127,14 +127,14 @@
   TrafficShare share;
   DOUBLES_EQUAL(0.25, share.Value(), 0.001);
   // An instance that joins has no requests at the targets yet.
-  share.OnLook(0, 40);
+  share.AddSample(0, 40);
   CHECK(share.Value() > 0.1);
   for (int i = 0; i < 300; ++i) {
-    share.OnLook(i % 2, 40);
+    share.AddSample(i % 2, 40);
   }
   DOUBLES_EQUAL(0.0125, share.Value(), 0.004);
   for (int i = 0; i < 2000; ++i) {
-    share.OnLook(0, 0);
+    share.AddSample(0, 0);
   }
   CHECK(share.Value() > 0);
 }
--- a/src/jujubehead/core/context/store_homes.cpp
+++ b/src/jujubehead/core/context/store_placement.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/store_homes.hpp"
+#include "jujubehead/core/context/store_placement.hpp"
 
 #include <algorithm> // for find_if, min, sort
 
@@ -14,7 +14,7 @@
 {
   std::size_t index = 0;
   bool is_suitable = false;
-  Duration first_delay{};
+  Duration base_latency{};
   double score = 0;
 };
 
@@ -25,8 +25,8 @@
   if (aOne.is_suitable != aOther.is_suitable) {
     return aOne.is_suitable;
   }
-  return aOne.is_suitable ? aOne.first_delay > aOther.first_delay
-                          : aOne.first_delay < aOther.first_delay;
+  return aOne.is_suitable ? aOne.base_latency > aOther.base_latency
+                          : aOne.base_latency < aOther.base_latency;
 }
 
 bool
@@ -38,18 +38,18 @@
 } // namespace
 
 std::vector<StoreHome>
-StoreHomes(std::uint64_t aPart,
-           const TransferSize& aSize,
-           std::span<const StoreFacts> aStores)
+SelectHomeStores(std::uint64_t aPart,
+                 const TransferSize& aSize,
+                 std::span<const StorePlacementInput> aStores)
 {
   // The best store of each kind and data centre; their number stays small.
   std::vector<RankedStore> best;
   for (std::size_t i = 0; i < aStores.size(); ++i) {
-    const StoreFacts& store = aStores[i];
+    const StorePlacementInput& store = aStores[i];
     RankedStore rank;
     rank.index = i;
-    rank.first_delay = store.rate.first_delay;
-    rank.is_suitable = store.rate.first_delay <= LinkTime(aSize, store.rate);
+    rank.base_latency = store.rate.base_latency;
+    rank.is_suitable = store.rate.base_latency <= LinkTime(aSize, store.rate);
     rank.score = WeightedScore(aPart, store.name_hash, store.capacity_tokens);
     const auto rival =
       std::find_if(best.begin(), best.end(), [&](const RankedStore& aOther) {
--- a/src/jujubehead/core/context/store_homes_test.cpp
+++ b/src/jujubehead/core/context/store_placement_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/store_homes.hpp"
+#include "jujubehead/core/context/store_placement.hpp"
 
 #include <map>    // for map
 #include <string> // for to_string
@@ -17,7 +17,7 @@
 constexpr LinkRate kHighLatency{ 2e10, milliseconds(6) };
 constexpr LinkRate kLowLatency{ 8e10, microseconds(500) };
 
-StoreFacts
+StorePlacementInput
 Store(const std::string& aName,
       std::string_view aDataCentre,
       const LinkRate& aRate)
@@ -27,9 +27,9 @@
 
 } // namespace
 
-TEST_GROUP(StoreHomes)
+TEST_GROUP(SelectHomeStores)
 {
-  std::vector<StoreFacts> stores = {
+  std::vector<StorePlacementInput> stores = {
     Store("q1", "a", kLowLatency),  Store("q2", "b", kLowLatency),
     Store("l1", "a", kHighLatency), Store("l2", "a", kHighLatency),
     Store("l3", "b", kHighLatency),
@@ -37,13 +37,13 @@
 
   std::vector<StoreHome> Homes(int aPart, std::uint64_t aTokens)
   {
-    return StoreHomes(PlacementHash("p" + std::to_string(aPart)),
-                      { aTokens, kTokenBytes, false },
-                      stores);
+    return SelectHomeStores(PlacementHash("p" + std::to_string(aPart)),
+                            { aTokens, kTokenBytes, false },
+                            stores);
   }
 };
 
-TEST(StoreHomes, LongPartsLeaveLowLatencyStoresToShortOnes)
+TEST(SelectHomeStores, LongPartsLeaveLowLatencyStoresToShortOnes)
 {
   // At the high-latency store (6 ms) 5,000 tokens take 25 ms, 500 take 2.5 ms.
   CHECK(Homes(1, 5000).front().index >= 2);
@@ -54,7 +54,7 @@
   CHECK(Homes(1, 500).back().kind > Homes(1, 500).front().kind);
 }
 
-TEST(StoreHomes, OneHomeOfEachKindPerDataCentre)
+TEST(SelectHomeStores, OneHomeOfEachKindPerDataCentre)
 {
   std::map<std::size_t, int> first;
   for (int part = 0; part < 300; ++part) {
@@ -69,9 +69,9 @@
   CHECK(first[2] > 60 && first[3] > 60 && first[4] > 60);
 }
 
-TEST(StoreHomes, StoresWithUnknownLinksAreEquivalent)
+TEST(SelectHomeStores, StoresWithUnknownLinksAreEquivalent)
 {
-  for (StoreFacts& store : stores) {
+  for (StorePlacementInput& store : stores) {
     store.rate = {};
   }
   const auto homes = Homes(1, 5000);
--- a/src/jujubehead/core/context/watch_pace.cpp
+++ b/src/jujubehead/core/context/watch_pacing.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/watch_pace.hpp"
+#include "jujubehead/core/context/watch_pacing.hpp"
 
 #include <algorithm> // for clamp
 
@@ -7,7 +7,7 @@
 
 /// @return the number of instances that share one of the used slots.
 double
-InstancesPerSlot(const Watchers& aWatchers, const WatchPaceOptions& aOptions)
+InstancesPerSlot(const Watchers& aWatchers, const WatchPacingOptions& aOptions)
 {
   const double slots = aOptions.target_utilization * aWatchers.max_concurrent;
   const auto instances = static_cast<double>(aWatchers.instances);
@@ -17,7 +17,7 @@
 } // namespace
 
 Duration
-WatchWait(const Watchers& aWatchers, const WatchPaceOptions& aOptions)
+WatchTimeout(const Watchers& aWatchers, const WatchPacingOptions& aOptions)
 {
   const bool fits = aWatchers.instances <= aWatchers.max_concurrent;
   return fits ? aOptions.default_wait : aOptions.contended_wait;
@@ -26,7 +26,7 @@
 Duration
 WatchPause(Duration aHeld,
            const Watchers& aWatchers,
-           const WatchPaceOptions& aOptions)
+           const WatchPacingOptions& aOptions)
 {
   if (aWatchers.instances <= aWatchers.max_concurrent) {
     return aOptions.min_pause;
--- a/src/jujubehead/core/context/watch_pace_test.cpp
+++ b/src/jujubehead/core/context/watch_pacing_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/context/watch_pace.hpp"
+#include "jujubehead/core/context/watch_pacing.hpp"
 
 #include <algorithm> // for max
 #include <random>    // for mt19937, uniform_int_distribution
@@ -32,7 +32,7 @@
     call.next = first(random);
   }
   const int wait = static_cast<int>(
-    std::chrono::duration_cast<milliseconds>(WatchWait(aWatchers)).count());
+    std::chrono::duration_cast<milliseconds>(WatchTimeout(aWatchers)).count());
   std::size_t held = 0;
   double calls_made = 0;
   double refused = 0;
@@ -73,14 +73,14 @@
 TEST(WatchPace, FewWatchersUseTheDefaultWait)
 {
   const Watchers few{ 9, 12 };
-  CHECK(WatchWait(few) == milliseconds(500));
+  CHECK(WatchTimeout(few) == milliseconds(500));
   CHECK(WatchPause(milliseconds(500), few) == milliseconds(120));
 }
 
 TEST(WatchPace, ManyWatchersPauseLonger)
 {
   const Watchers many{ 74, 12 };
-  CHECK(WatchWait(many) == milliseconds(200));
+  CHECK(WatchTimeout(many) == milliseconds(200));
   CHECK(WatchPause(milliseconds(50), many) > milliseconds(400));
   CHECK(WatchPause(milliseconds(200), many) == milliseconds(600));
 }
--- a/src/jujubehead/core/kept_context.cpp
+++ b/src/jujubehead/core/context_import.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/kept_context.hpp"
+#include "jujubehead/core/context_import.hpp"
 
 #include <algorithm> // for equal, mismatch
 #include <stdexcept> // for invalid_argument
@@ -32,7 +32,7 @@
 }
 
 std::optional<ImportTicket>
-ChooseImport(const CopyReading& aReading,
+ChooseImport(const CopyState& aReading,
              std::string aSalt,
              std::span<const ContextKey> aKeys)
 {
@@ -52,7 +52,7 @@
 }
 
 ImportVerdict
-CheckImport(const ImportTicket& aTicket, const CopyReading& aReading)
+CheckImport(const ImportTicket& aTicket, const CopyState& aReading)
 {
   if (aReading.copy != aTicket.copy) {
     return ImportVerdict::kOtherGeneration;
--- a/src/jujubehead/core/kept_context_test.cpp
+++ b/src/jujubehead/core/context_import_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/kept_context.hpp"
+#include "jujubehead/core/context_import.hpp"
 
 #include <array>    // for array
 #include <map>      // for map
@@ -92,7 +92,7 @@
 
   struct StoredCopy
   {
-    CopyReading header;
+    CopyState header;
     std::vector<std::size_t> slots;
     std::vector<std::string> to_write;
   };
@@ -251,10 +251,10 @@
   }
 
   /// The store's report, changed to pass the check that is omitted.
-  [[nodiscard]] CopyReading Reading(const StoredCopy& aCopy,
-                                    const ImportTicket& aTicket) const
+  [[nodiscard]] CopyState Reading(const StoredCopy& aCopy,
+                                  const ImportTicket& aTicket) const
   {
-    CopyReading reading = aCopy.header;
+    CopyState reading = aCopy.header;
     if (m_omitted == Omitted::kGeneration) {
       reading.copy = aTicket.copy;
     }
@@ -290,7 +290,7 @@
     }
   }
 
-  static CopyName NameOf(std::size_t aHandle, std::uint64_t aGeneration)
+  static CopyId NameOf(std::size_t aHandle, std::uint64_t aGeneration)
   {
     return { "handle-" + std::to_string(aHandle), aGeneration };
   }
@@ -345,9 +345,9 @@
 
 } // namespace
 
-TEST_GROUP(KeptContext){};
+TEST_GROUP(ContextImport){};
 
-TEST(KeptContext, NoInterleavingUsesAWrongBlock)
+TEST(ContextImport, NoInterleavingUsesAWrongBlock)
 {
   CHECK(rc::check([](std::uint64_t aSeed) {
     RC_ASSERT(RunIsSafe(Omitted::kNothing, Commands(aSeed)));
@@ -357,32 +357,32 @@
   }
 }
 
-TEST(KeptContext, OmittingTheGenerationCheckIsDetected)
+TEST(ContextImport, OmittingTheGenerationCheckIsDetected)
 {
   CHECK(IsDetected(Omitted::kGeneration));
 }
 
-TEST(KeptContext, OmittingTheCommitCheckIsDetected)
+TEST(ContextImport, OmittingTheCommitCheckIsDetected)
 {
   CHECK(IsDetected(Omitted::kCommit));
 }
 
-TEST(KeptContext, OmittingTheScopeAndBlockCheckIsDetected)
+TEST(ContextImport, OmittingTheScopeAndBlockCheckIsDetected)
 {
   CHECK(IsDetected(Omitted::kBlocks));
 }
 
-TEST(KeptContext, KeysWithoutTheVersionAreDetected)
+TEST(ContextImport, KeysWithoutTheVersionAreDetected)
 {
   CHECK(IsDetected(Omitted::kVersion));
 }
 
-TEST(KeptContext, KeysWithoutTheAccountAreDetected)
+TEST(ContextImport, KeysWithoutTheAccountAreDetected)
 {
   CHECK(IsDetected(Omitted::kAccount));
 }
 
-TEST(KeptContext, GenerationsOfTwoOwnersNeverCollide)
+TEST(ContextImport, GenerationsOfTwoOwnersNeverCollide)
 {
   std::set<std::uint64_t> seen;
   for (std::uint32_t epoch = 1; epoch <= 3; ++epoch) {
@@ -393,11 +393,11 @@
   }
 }
 
-TEST(KeptContext, AnUncommittedCopyIsNotChosen)
+TEST(ContextImport, AnUncommittedCopyIsNotChosen)
 {
   const ContextScope scope{ AccountId("a"), ModelId("m"), "1", "" };
   const auto keys = ChainKeys(scope, "aabbcc", kBlock);
-  CopyReading reading{ { "h", 7 }, false, Salt(scope), keys, 3, 0 };
+  CopyState reading{ { "h", 7 }, false, Salt(scope), keys, 3, 0 };
   CHECK(!ChooseImport(reading, Salt(scope), keys));
   reading.committed = true;
   CHECK(!ChooseImport(reading, "other", keys));
@@ -407,18 +407,18 @@
   CHECK_EQUAL(3, ticket->keys.size());
 }
 
-TEST(KeptContext, EachMismatchHasItsVerdict)
+TEST(ContextImport, EachMismatchHasItsVerdict)
 {
   const ContextScope scope{ AccountId("a"), ModelId("m"), "1", "" };
   const auto keys = ChainKeys(scope, "aabbcc", kBlock);
   const ImportTicket ticket{ { HandleOf(keys), 7 }, Salt(scope), keys };
-  const CopyReading matching{ ticket.copy, true, ticket.salt, keys, 3, 3 };
+  const CopyState matching{ ticket.copy, true, ticket.salt, keys, 3, 3 };
   const auto verdict = [&](auto aChange) {
-    CopyReading reading = matching;
+    CopyState reading = matching;
     aChange(reading);
     return CheckImport(ticket, reading);
   };
-  using Reading = CopyReading;
+  using Reading = CopyState;
   CHECK(verdict([](Reading&) {}) == ImportVerdict::kAccept);
   CHECK(verdict([](Reading& aRead) { aRead.copy.generation = 8; }) ==
         ImportVerdict::kOtherGeneration);
--- a/src/jujubehead/core/directory.cpp
+++ b/src/jujubehead/core/directory.cpp
@@ -14,7 +14,7 @@
 /// invalidates them all.
 struct Copy
 {
-  CopyName name;
+  CopyId name;
   bool is_valid = true;
 };
 
@@ -125,12 +125,12 @@
     Apply(aHolder, aEvent);
   }
 
-  void ForgetCopy(const StoreId& aStore, const CopyName& aCopy)
+  void RemoveCopy(const StoreId& aStore, const CopyId& aCopy)
   {
     InvalidateCopy(m_holders[NumberOf(aStore)], aCopy);
   }
 
-  void Forget(const Holder& aHolder)
+  void RemoveHolder(const Holder& aHolder)
   {
     HolderState& state = m_holders[NumberOf(aHolder)];
     InvalidateAll(state);
@@ -200,8 +200,7 @@
     }
   }
 
-  static std::shared_ptr<Copy> CopyOf(HolderState& aState,
-                                      const CopyName& aName)
+  static std::shared_ptr<Copy> CopyOf(HolderState& aState, const CopyId& aName)
   {
     auto& copy = aState.copies[{ aName.handle, aName.generation }];
     if (!copy) {
@@ -210,7 +209,7 @@
     return copy;
   }
 
-  static void InvalidateCopy(HolderState& aState, const CopyName& aName)
+  static void InvalidateCopy(HolderState& aState, const CopyId& aName)
   {
     const auto found = aState.copies.find({ aName.handle, aName.generation });
     if (found != aState.copies.end()) {
@@ -282,7 +281,7 @@
     std::vector<PrefixHint> hints;
     for (const PrefixMatch& match : aMatches) {
       if (match.blocks > 0) {
-        std::optional<CopyName> name;
+        std::optional<CopyId> name;
         if (match.copy) {
           name = match.copy->name;
         }
@@ -334,7 +333,8 @@
 }
 
 void
-Directory::Unlearn(const TargetId& aTarget, std::span<const ContextKey> aKeys)
+Directory::RecordRemoved(const TargetId& aTarget,
+                         std::span<const ContextKey> aKeys)
 {
   m_impl->ApplyOutOfSequence(
     aTarget,
@@ -342,9 +342,9 @@
 }
 
 void
-Directory::LearnCopy(const StoreId& aStore,
-                     const CopyName& aCopy,
-                     std::span<const ContextKey> aKeys)
+Directory::RecordCopy(const StoreId& aStore,
+                      const CopyId& aCopy,
+                      std::span<const ContextKey> aKeys)
 {
   m_impl->ApplyOutOfSequence(
     aStore,
@@ -352,15 +352,15 @@
 }
 
 void
-Directory::ForgetCopy(const StoreId& aStore, const CopyName& aCopy)
+Directory::RemoveCopy(const StoreId& aStore, const CopyId& aCopy)
 {
-  m_impl->ForgetCopy(aStore, aCopy);
+  m_impl->RemoveCopy(aStore, aCopy);
 }
 
 void
-Directory::Forget(const Holder& aHolder)
+Directory::RemoveHolder(const Holder& aHolder)
 {
-  m_impl->Forget(aHolder);
+  m_impl->RemoveHolder(aHolder);
 }
 
 std::vector<PrefixHint>
--- a/src/jujubehead/core/directory_test.cpp
+++ b/src/jujubehead/core/directory_test.cpp
@@ -34,7 +34,7 @@
 }
 
 CacheEvent
-Copied(std::uint64_t aSequence, std::vector<ContextKey> aKeys, CopyName aName)
+Copied(std::uint64_t aSequence, std::vector<ContextKey> aKeys, CopyId aName)
 {
   return {
     aSequence, CacheEventKind::kStored, std::move(aKeys), std::move(aName)
@@ -126,7 +126,7 @@
 {
   directory.Learn(target, keys);
   directory.Learn(TargetId("other"), keys);
-  directory.Unlearn(target, keys);
+  directory.RecordRemoved(target, keys);
   const auto hints = directory.Lookup(keys);
   CHECK_EQUAL(1, hints.size());
   CHECK(hints.front().holder == Holder(TargetId("other")));
@@ -138,14 +138,13 @@
   directory.Apply(store, Copied(2, Keys(5), { "h", 2 }));
   const auto both = directory.Lookup(keys);
   CHECK_EQUAL(2, both.size());
-  CHECK(both[0].copy == (CopyName{ "h", 2 }));
+  CHECK(both[0].copy == (CopyId{ "h", 2 }));
   CHECK_EQUAL(3, both[1].blocks);
-  directory.ForgetCopy(store, { "h", 2 });
+  directory.RemoveCopy(store, { "h", 2 });
   const auto rest = directory.Lookup(keys);
   CHECK_EQUAL(1, rest.size());
-  CHECK(rest[0].copy == (CopyName{ "h", 1 }));
-  directory.Apply(store,
-                  { 3, CacheEventKind::kRemoved, {}, CopyName{ "h", 1 } });
+  CHECK(rest[0].copy == (CopyId{ "h", 1 }));
+  directory.Apply(store, { 3, CacheEventKind::kRemoved, {}, CopyId{ "h", 1 } });
   CHECK(directory.Lookup(keys).empty());
 }
 
@@ -153,9 +152,9 @@
 {
   StoreAll();
   directory.Apply(store, Copied(1, keys, { "h", 1 }));
-  directory.Forget(target);
+  directory.RemoveHolder(target);
   CHECK_EQUAL(1, directory.Lookup(keys).size());
-  directory.Forget(store);
+  directory.RemoveHolder(store);
   CHECK(directory.Lookup(keys).empty());
 }
 
@@ -200,7 +199,7 @@
   const auto chain = ChainKeys({}, std::string(4 * kDefaultBlockBytes, 'x'));
   bounded.Learn(holder, chain);
   LONGS_EQUAL(4, bounded.Lookup(chain).at(0).blocks);
-  bounded.Unlearn(holder, std::span(chain).subspan(1, 1));
+  bounded.RecordRemoved(holder, std::span(chain).subspan(1, 1));
   LONGS_EQUAL(1, bounded.Lookup(chain).at(0).blocks);
   bounded.Learn(holder, chain);
   LONGS_EQUAL(4, bounded.Lookup(chain).at(0).blocks);
@@ -211,10 +210,10 @@
   Directory bounded(100);
   const StoreId holder("s1");
   const auto chain = ChainKeys({}, std::string(2 * kDefaultBlockBytes, 'x'));
-  bounded.LearnCopy(holder, { "h", 3 }, chain);
+  bounded.RecordCopy(holder, { "h", 3 }, chain);
   const auto hints = bounded.Lookup(chain);
   LONGS_EQUAL(2, hints.at(0).blocks);
   CHECK(hints.at(0).copy->generation == 3);
-  bounded.ForgetCopy(holder, { "h", 3 });
+  bounded.RemoveCopy(holder, { "h", 3 });
   CHECK(bounded.Lookup(chain).empty());
 }
--- a/src/jujubehead/core/eviction_forecast.cpp
+++ b/src/jujubehead/core/eviction_forecast.cpp
@@ -8,7 +8,7 @@
 }
 
 void
-EvictionForecast::Used(const ContextKey& aRoot, std::uint32_t aBlocks)
+EvictionForecast::OnUse(const ContextKey& aRoot, std::uint32_t aBlocks)
 {
   Forget(aRoot);
   m_order.push_front({ aRoot, aBlocks });
@@ -36,7 +36,7 @@
 }
 
 std::vector<ContextKey>
-EvictionForecast::TakeDue(double aShare)
+EvictionForecast::TakeNearEviction(double aShare)
 {
   const double limit = aShare * m_capacity;
   std::vector<ContextKey> due;
--- a/src/jujubehead/core/eviction_forecast_test.cpp
+++ b/src/jujubehead/core/eviction_forecast_test.cpp
@@ -24,29 +24,29 @@
 
 TEST(EvictionForecast, NothingIsDueWhileThereIsRoom)
 {
-  forecast.Used(Root(1), 40);
-  forecast.Used(Root(2), 40);
-  CHECK(forecast.TakeDue(0.8).empty());
+  forecast.OnUse(Root(1), 40);
+  forecast.OnUse(Root(2), 40);
+  CHECK(forecast.TakeNearEviction(0.8).empty());
 }
 
 TEST(EvictionForecast, TheLeastRecentlyUsedContextIsDueOnce)
 {
-  forecast.Used(Root(1), 40);
-  forecast.Used(Root(2), 40);
-  forecast.Used(Root(1), 40);
-  forecast.Used(Root(3), 40);
-  const auto due = forecast.TakeDue(0.8);
+  forecast.OnUse(Root(1), 40);
+  forecast.OnUse(Root(2), 40);
+  forecast.OnUse(Root(1), 40);
+  forecast.OnUse(Root(3), 40);
+  const auto due = forecast.TakeNearEviction(0.8);
   CHECK_EQUAL(1, due.size());
   CHECK(due.front() == Root(2));
-  CHECK(forecast.TakeDue(0.8).empty());
+  CHECK(forecast.TakeNearEviction(0.8).empty());
 }
 
 TEST(EvictionForecast, RemovedContextsAreNeverDue)
 {
-  forecast.Used(Root(1), 90);
-  forecast.Used(Root(2), 90);
+  forecast.OnUse(Root(1), 90);
+  forecast.OnUse(Root(2), 90);
   forecast.Forget(Root(1));
-  CHECK(forecast.TakeDue(0.9).empty());
+  CHECK(forecast.TakeNearEviction(0.9).empty());
   forecast.Clear();
-  CHECK(forecast.TakeDue(0.0).empty());
+  CHECK(forecast.TakeNearEviction(0.0).empty());
 }
--- a/src/jujubehead/core/fair_queue.cpp
+++ b/src/jujubehead/core/fair_queue.cpp
@@ -137,7 +137,7 @@
       std::any_of(account.waiting.begin(),
                   account.waiting.end(),
                   [aActiveSince](const auto& aEntry) {
-                    return aEntry.second.heard_at >= aActiveSince;
+                    return aEntry.second.last_request_at >= aActiveSince;
                   });
     if (has_active_holder &&
         (best == nullptr || account.finish < best->finish)) {
@@ -154,11 +154,12 @@
   if (account == nullptr) {
     return std::nullopt;
   }
-  const auto at = std::find_if(account->waiting.begin(),
-                               account->waiting.end(),
-                               [aActiveSince](const auto& aEntry) {
-                                 return aEntry.second.heard_at >= aActiveSince;
-                               });
+  const auto at =
+    std::find_if(account->waiting.begin(),
+                 account->waiting.end(),
+                 [aActiveSince](const auto& aEntry) {
+                   return aEntry.second.last_request_at >= aActiveSince;
+                 });
   ChosenRequest chosen{ at->second, {} };
   chosen.charged = Estimate(*account, chosen.waiting.request.cost_tokens);
   Erase(*account, at);
@@ -170,7 +171,7 @@
 }
 
 std::vector<WaitingRequest>
-FairQueue::TakeHopeless(Instant aNow, Instant aInactiveBefore)
+FairQueue::TakeExpired(Instant aNow, Instant aInactiveBefore)
 {
   std::vector<WaitingRequest> taken;
   for (auto& [id, account] : m_accounts) {
@@ -178,7 +179,7 @@
       const auto at = it++;
       const WaitingRequest& waiting = at->second;
       if (waiting.request.deadline < aNow ||
-          waiting.heard_at < aInactiveBefore) {
+          waiting.last_request_at < aInactiveBefore) {
         taken.push_back(waiting);
         Erase(account, at);
       }
@@ -219,14 +220,14 @@
 }
 
 void
-FairQueue::Learn(const AccountId& aAccount,
-                 std::uint32_t aTokens,
-                 Duration aUsed)
+FairQueue::AddSample(const AccountId& aAccount,
+                     std::uint32_t aTokens,
+                     Duration aUsed)
 {
-  m_service.Learn(aTokens, aUsed);
+  m_service.AddSample(aTokens, aUsed);
   const auto found = m_accounts.find(aAccount);
   if (found != m_accounts.end()) {
-    found->second.service.Learn(aTokens, aUsed);
+    found->second.service.AddSample(aTokens, aUsed);
   }
 }
 
@@ -289,7 +290,7 @@
 }
 
 std::uint32_t
-FairQueue::Ahead(const PermitRequest& aRequest) const
+FairQueue::CountAhead(const PermitRequest& aRequest) const
 {
   const auto found = m_accounts.find(aRequest.account);
   if (found == m_accounts.end()) {
--- a/src/jujubehead/core/fair_queue.hpp
+++ b/src/jujubehead/core/fair_queue.hpp
@@ -18,7 +18,7 @@
 struct WaitingRequest
 {
   PermitRequest request;
-  Instant heard_at;
+  Instant last_request_at;
 };
 
 /// @brief A request selected to run, and the run time charged for it.
@@ -28,7 +28,7 @@
   Duration charged{};
 };
 
-/// @brief Start-time fair queueing over accounts; see PermitBook.
+/// @brief Start-time fair queueing over accounts; see PermitScheduler.
 class FairQueue
 {
 public:
@@ -47,8 +47,8 @@
   std::optional<ChosenRequest> Pop(Instant aActiveSince);
   /// @brief Removes and returns requests whose deadline has passed or that
   /// their holder last sent before `aInactiveBefore`.
-  std::vector<WaitingRequest> TakeHopeless(Instant aNow,
-                                           Instant aInactiveBefore);
+  std::vector<WaitingRequest> TakeExpired(Instant aNow,
+                                          Instant aInactiveBefore);
 
   /// @brief Ends a run and corrects its account's charge to the time used.
   void Settle(const AccountId& aAccount, Duration aCharged, Duration aUsed);
@@ -57,7 +57,9 @@
   /// @brief Ends a run of unknown duration.
   void CountEnded(const AccountId& aAccount);
   /// @brief Adds a run to the service time estimates.
-  void Learn(const AccountId& aAccount, std::uint32_t aTokens, Duration aUsed);
+  void AddSample(const AccountId& aAccount,
+                 std::uint32_t aTokens,
+                 Duration aUsed);
 
   [[nodiscard]] std::uint32_t Size() const { return m_size; }
   [[nodiscard]] std::uint32_t SizeOf(const AccountId& aAccount) const;
@@ -68,7 +70,7 @@
                                       std::uint32_t aSlots,
                                       std::uint32_t aFreeSlots) const;
   /// @return the number of the account's requests that precede this one.
-  [[nodiscard]] std::uint32_t Ahead(const PermitRequest& aRequest) const;
+  [[nodiscard]] std::uint32_t CountAhead(const PermitRequest& aRequest) const;
 
 private:
   /// Priority, deadline, order of arrival.
--- a/src/jujubehead/core/lease_witness.cpp
+++ b/src/jujubehead/core/lease_witness.cpp
@@ -148,7 +148,7 @@
   if (!expired || !IsFirstWitness(record) || record.list.groups.empty()) {
     return std::nullopt;
   }
-  Instant previous_end = record.expires_at;
+  Instant previous_grants_end = record.expires_at;
   for (const Incarnation& witness : record.row.witnesses) {
     if (witness == m_self) {
       continue;
@@ -157,11 +157,11 @@
     if (agreed == record.agreed.end()) {
       return std::nullopt;
     }
-    previous_end = std::max(previous_end, agreed->second);
+    previous_grants_end = std::max(previous_grants_end, agreed->second);
   }
   record.state = State::kVotedInElection;
   record.voted_for = aUnder;
-  return Takeover{ aLease, record.list.groups, previous_end };
+  return Takeover{ aLease, record.list.groups, previous_grants_end };
 }
 
 std::size_t
--- a/src/jujubehead/core/lease_witness.hpp
+++ b/src/jujubehead/core/lease_witness.hpp
@@ -21,7 +21,8 @@
 {
   Incarnation lease;
   std::vector<GroupRow> groups;
-  Instant previous_end; ///< The lease had expired by then, by this clock.
+  Instant
+    previous_grants_end; ///< The lease had expired by then, by this clock.
 };
 
 /// @brief The witness role for other instances' leases. Its state is lost when
--- a/src/jujubehead/core/link_schedule.cpp
+++ b/src/jujubehead/core/link_schedule.cpp
@@ -160,7 +160,7 @@
   std::vector<Transfer> Expire(Instant aNow)
   {
     const auto isExpired = [aNow](const Transfer& aTransfer) {
-      return aTransfer.give_up <= aNow;
+      return aTransfer.start_deadline <= aNow;
     };
     std::vector<Transfer> expired;
     for (FairQueue& queue : m_waiting) {
@@ -200,7 +200,7 @@
 
   [[nodiscard]] double Rate() const { return m_rate; }
 
-  [[nodiscard]] double Use(TransferKind aKind, Instant aNow) const
+  [[nodiscard]] double Utilization(TransferKind aKind, Instant aNow) const
   {
     const double busy = Running(aKind) > 0 ? 1 : 0;
     const double old =
@@ -267,8 +267,8 @@
       running.link_seconds += share;
     }
     if (aNow > m_charged) {
-      m_utilization = { Use(TransferKind::kImport, aNow),
-                        Use(TransferKind::kExport, aNow) };
+      m_utilization = { Utilization(TransferKind::kImport, aNow),
+                        Utilization(TransferKind::kExport, aNow) };
       m_charged = aNow;
     }
   }
@@ -361,9 +361,9 @@
 }
 
 double
-LinkSchedule::Use(TransferKind aKind, Instant aNow) const
+LinkSchedule::Utilization(TransferKind aKind, Instant aNow) const
 {
-  return m_impl->Use(aKind, aNow);
+  return m_impl->Utilization(aKind, aNow);
 }
 
 std::size_t
--- a/src/jujubehead/core/member_watch.cpp
+++ b/src/jujubehead/core/member_watch.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for stable_sort
 
-#include "jujubehead/core/rendezvous.hpp" // for HomesOf
+#include "jujubehead/core/rendezvous.hpp" // for RankByRendezvous
 
 namespace jujubehead::core {
 
@@ -89,7 +89,8 @@
     ids.push_back(member.id);
     centres.emplace(member.id, member.data_centre);
   }
-  std::vector<InstanceId> order = HomesOf(m_self.View(), ids, ids.size());
+  std::vector<InstanceId> order =
+    RankByRendezvous(m_self.View(), ids, ids.size());
   std::map<DataCentreId, int> rounds_in_centre;
   std::map<InstanceId, int> round;
   rounds_in_centre[m_data_centre] = static_cast<int>(order.size());
--- a/src/jujubehead/core/membership/hub_choice.cpp
+++ b/src/jujubehead/core/membership/hub_selector.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/hub_choice.hpp"
+#include "jujubehead/core/membership/hub_selector.hpp"
 
 #include <algorithm> // for min
 
@@ -11,13 +11,13 @@
 } // namespace
 
 std::size_t
-HubChoice::Next(std::size_t aHubs) const
+HubSelector::Next(std::size_t aHubs) const
 {
   return aHubs == 0 ? 0 : m_next % aHubs;
 }
 
 void
-HubChoice::OnAnswer()
+HubSelector::OnAnswer()
 {
   // One response does not show that the hubs can serve all pollers again.
   m_failures -= m_failures > 0 ? 1 : 0;
@@ -25,14 +25,14 @@
 }
 
 Duration
-HubChoice::OnFailure(HubFailure aFailure, double aJitter)
+HubSelector::OnFailure(HubFailure aFailure, double aJitter)
 {
-  const bool is_left = aFailure == HubFailure::kGone || m_is_late;
+  const bool is_left = aFailure == HubFailure::kNotServing || m_is_late;
   m_is_late = !is_left;
   m_next += is_left ? 1 : 0;
   const std::uint32_t doublings = std::min(m_failures, kMaxDoublings);
   ++m_failures;
-  if (aFailure == HubFailure::kGone && m_failures == 1) {
+  if (aFailure == HubFailure::kNotServing && m_failures == 1) {
     return {};
   }
   const Duration max_delay = kFirstDelay * (1 << doublings);
--- a/src/jujubehead/core/membership/hub_choice_test.cpp
+++ b/src/jujubehead/core/membership/hub_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/hub_choice.hpp"
+#include "jujubehead/core/membership/hub_selector.hpp"
 
 #include <map>    // for map
 #include <random> // for mt19937
@@ -16,7 +16,7 @@
 /// A poller in the overload simulation below, which runs in steps of 10 ms.
 struct Poller
 {
-  HubChoice choice;
+  HubSelector choice;
   std::size_t hub = 0;
   int next_poll = 0;       ///< A step.
   std::vector<int> pieces; ///< Responses left to transfer, by hub.
@@ -84,7 +84,7 @@
         late += step >= kCountFrom ? 1 : 0;
         const double jitter = std::uniform_real_distribution<>(0, 1)(random);
         const Duration delay =
-          poller.choice.OnFailure(HubFailure::kLate, jitter);
+          poller.choice.OnFailure(HubFailure::kTimeout, jitter);
         if (aBacksOff) {
           poller.hub = poller.choice.Next(kHubs);
           poller.next_poll =
@@ -102,58 +102,58 @@
 
 } // namespace
 
-TEST_GROUP(HubChoice){};
+TEST_GROUP(HubSelector){};
 
-TEST(HubChoice, LeavesAnUnreachableHubAtOnce)
+TEST(HubSelector, LeavesAnUnreachableHubAtOnce)
 {
-  HubChoice choice;
+  HubSelector choice;
   LONGS_EQUAL(0, choice.Next(kHubs));
-  CHECK(choice.OnFailure(HubFailure::kGone, 0.5) == Duration(0));
+  CHECK(choice.OnFailure(HubFailure::kNotServing, 0.5) == Duration(0));
   LONGS_EQUAL(1, choice.Next(kHubs));
 }
 
-TEST(HubChoice, PollsALateHubOnceMore)
+TEST(HubSelector, PollsALateHubOnceMore)
 {
-  HubChoice choice;
-  CHECK(choice.OnFailure(HubFailure::kLate, 1) == milliseconds(200));
+  HubSelector choice;
+  CHECK(choice.OnFailure(HubFailure::kTimeout, 1) == milliseconds(200));
   LONGS_EQUAL(0, choice.Next(kHubs));
-  CHECK(choice.OnFailure(HubFailure::kLate, 1) == milliseconds(400));
+  CHECK(choice.OnFailure(HubFailure::kTimeout, 1) == milliseconds(400));
   LONGS_EQUAL(1, choice.Next(kHubs));
   // A response between two timeouts resets the count.
-  choice.OnFailure(HubFailure::kLate, 1);
+  choice.OnFailure(HubFailure::kTimeout, 1);
   choice.OnAnswer();
-  choice.OnFailure(HubFailure::kLate, 1);
+  choice.OnFailure(HubFailure::kTimeout, 1);
   LONGS_EQUAL(1, choice.Next(kHubs));
 }
 
-TEST(HubChoice, DelaysDoubleWithFailuresAndShrinkWithResponses)
+TEST(HubSelector, DelaysDoubleWithFailuresAndShrinkWithResponses)
 {
-  HubChoice choice;
-  choice.OnFailure(HubFailure::kGone, 1);
-  CHECK(choice.OnFailure(HubFailure::kGone, 1) == milliseconds(400));
-  CHECK(choice.OnFailure(HubFailure::kGone, 1) == milliseconds(800));
-  CHECK(choice.OnFailure(HubFailure::kGone, 0) == milliseconds(800));
+  HubSelector choice;
+  choice.OnFailure(HubFailure::kNotServing, 1);
+  CHECK(choice.OnFailure(HubFailure::kNotServing, 1) == milliseconds(400));
+  CHECK(choice.OnFailure(HubFailure::kNotServing, 1) == milliseconds(800));
+  CHECK(choice.OnFailure(HubFailure::kNotServing, 0) == milliseconds(800));
   for (int i = 0; i < 20; ++i) {
-    CHECK(choice.OnFailure(HubFailure::kGone, 1) <= milliseconds(3200));
+    CHECK(choice.OnFailure(HubFailure::kNotServing, 1) <= milliseconds(3200));
   }
   for (int i = 0; i < 30; ++i) {
     choice.OnAnswer();
   }
-  CHECK(choice.OnFailure(HubFailure::kGone, 1) == Duration(0));
+  CHECK(choice.OnFailure(HubFailure::kNotServing, 1) == Duration(0));
 }
 
-TEST(HubChoice, TheIndexIsValidForAnyNumberOfHubs)
+TEST(HubSelector, TheIndexIsValidForAnyNumberOfHubs)
 {
-  HubChoice choice;
+  HubSelector choice;
   for (std::size_t hubs = 0; hubs < kHubs; ++hubs) {
-    choice.OnFailure(HubFailure::kGone, 0);
+    choice.OnFailure(HubFailure::kNotServing, 0);
     CHECK(choice.Next(hubs) < std::max<std::size_t>(hubs, 1));
   }
 }
 
 // Hubs that were slow for a moment must recover although all pollers switch
 // from one hub to the next (metastable overload).
-TEST(HubChoice, HubsRecoverFromPollersThatSwitchHubs)
+TEST(HubSelector, HubsRecoverFromPollersThatSwitchHubs)
 {
   const int without = LateTimeouts(false);
   const int with = LateTimeouts(true);
--- a/src/jujubehead/core/membership/hubs.cpp
+++ b/src/jujubehead/core/membership/hubs.cpp
@@ -49,7 +49,7 @@
        std::string_view aSelf,
        const HubOptions& aOptions)
 {
-  if (aInstances.size() > aOptions.most_without) {
+  if (aInstances.size() > aOptions.max_without_hubs) {
     SortBySeed(aInstances, "hub");
     PutLargestFirst(aInstances);
     aInstances.resize(aOptions.hubs);
@@ -75,7 +75,7 @@
 HubRole::Update(std::vector<KnownInstance> aInstances,
                 const HubOptions& aOptions)
 {
-  m_has_non_hubs = aInstances.size() > aOptions.most_without;
+  m_has_non_hubs = aInstances.size() > aOptions.max_without_hubs;
   m_hubs = HubsOf(std::move(aInstances), m_self, aOptions);
   m_is_hub =
     std::any_of(m_hubs.begin(), m_hubs.end(), [&](const KnownInstance& aOne) {
--- a/src/jujubehead/core/membership/instance_book.cpp
+++ b/src/jujubehead/core/membership/instance_directory.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/instance_book.hpp"
+#include "jujubehead/core/membership/instance_directory.hpp"
 
 #include <sstream> // for istringstream, ostringstream
 #include <utility> // for move
@@ -36,17 +36,18 @@
   return instance;
 }
 
-InstanceBook::InstanceBook(KnownInstance aSelf, InstanceBookOptions aOptions)
+InstanceDirectory::InstanceDirectory(KnownInstance aSelf,
+                                     InstanceDirectoryOptions aOptions)
   : m_self(std::move(aSelf))
   , m_options(aOptions)
 {
 }
 
 void
-InstanceBook::OnRow(const std::string& aId,
-                    std::optional<std::string> aValue,
-                    std::uint64_t aVersion,
-                    Instant aNow)
+InstanceDirectory::OnRow(const std::string& aId,
+                         std::optional<std::string> aValue,
+                         std::uint64_t aVersion,
+                         Instant aNow)
 {
   const auto known = m_rows.find(aId);
   if (known != m_rows.end() && aVersion <= known->second.version) {
@@ -60,7 +61,7 @@
 }
 
 std::vector<KnownInstance>
-InstanceBook::Others() const
+InstanceDirectory::Others() const
 {
   std::vector<KnownInstance> others;
   for (const auto& [id, row] : m_rows) {
@@ -73,7 +74,7 @@
 }
 
 std::vector<KnownInstance>
-InstanceBook::All() const
+InstanceDirectory::All() const
 {
   std::vector<KnownInstance> all = Others();
   all.push_back(m_self);
@@ -81,7 +82,7 @@
 }
 
 std::optional<InstanceRowWrite>
-InstanceBook::NextWrite(Instant aNow) const
+InstanceDirectory::NextWrite(Instant aNow) const
 {
   if (!m_is_read) {
     return std::nullopt;
--- a/src/jujubehead/core/membership/instance_book_test.cpp
+++ b/src/jujubehead/core/membership/instance_directory_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/instance_book.hpp"
+#include "jujubehead/core/membership/instance_directory.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -6,10 +6,10 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-TEST_GROUP(InstanceBook)
+TEST_GROUP(InstanceDirectory)
 {
   const Instant now = Instant(std::chrono::hours(5));
-  InstanceBook book{ KnownInstance{ "i1", "10.0.0.1:7" } };
+  InstanceDirectory book{ KnownInstance{ "i1", "10.0.0.1:7" } };
 
   void ReadNothing()
   {
@@ -18,12 +18,12 @@
   }
 };
 
-TEST(InstanceBook, NothingIsWrittenBeforeTheRowsWereRead)
+TEST(InstanceDirectory, NothingIsWrittenBeforeTheRowsWereRead)
 {
   CHECK_FALSE(book.NextWrite(now).has_value());
 }
 
-TEST(InstanceBook, AnInstanceWritesItsRowOnce)
+TEST(InstanceDirectory, AnInstanceWritesItsRowOnce)
 {
   ReadNothing();
   const auto write = book.NextWrite(now);
@@ -37,7 +37,7 @@
   LONGS_EQUAL(5, refresh->expected_version);
 }
 
-TEST(InstanceBook, AnInstanceAtANewAddressRewritesItsRow)
+TEST(InstanceDirectory, AnInstanceAtANewAddressRewritesItsRow)
 {
   book.BeginAll();
   book.OnRow("i1", "10.9.9.9:7", 4, now);
@@ -47,7 +47,7 @@
   LONGS_EQUAL(4, write->expected_version);
 }
 
-TEST(InstanceBook, OthersExcludesThisInstance)
+TEST(InstanceDirectory, OthersExcludesThisInstance)
 {
   ReadNothing();
   book.OnRow("i1", "10.0.0.1:7", 1, now);
@@ -59,7 +59,7 @@
   STRCMP_EQUAL("10.0.0.3:7", book.Others()[0].address.c_str());
 }
 
-TEST(InstanceBook, AnExpiredRowIsDeleted)
+TEST(InstanceDirectory, AnExpiredRowIsDeleted)
 {
   ReadNothing();
   book.OnRow("i1", "10.0.0.1:7", 1, now + minutes(25));
@@ -74,7 +74,7 @@
   CHECK_FALSE(book.NextWrite(now + minutes(31)).has_value());
 }
 
-TEST(InstanceBook, AnOlderVersionIsIgnored)
+TEST(InstanceDirectory, AnOlderVersionIsIgnored)
 {
   ReadNothing();
   book.OnRow("i2", "10.0.0.2:7", 5, now);
@@ -83,7 +83,7 @@
   STRCMP_EQUAL("10.0.0.2:7", book.Others()[0].address.c_str());
 }
 
-TEST(InstanceBook, TheCapacityFollowsTheAddress)
+TEST(InstanceDirectory, TheCapacityFollowsTheAddress)
 {
   const KnownInstance instance{ "i1", "10.0.0.1:7", 0.5 };
   STRCMP_EQUAL("10.0.0.1:7 0.5", EncodeInstanceRow(instance).c_str());
--- a/src/jujubehead/core/membership/store_absences.cpp
+++ b/src/jujubehead/core/membership/store_outages.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/store_absences.hpp"
+#include "jujubehead/core/membership/store_outages.hpp"
 
 #include <algorithm> // for max, min
 
@@ -13,7 +13,7 @@
 } // namespace
 
 bool
-StoreAbsences::OnAnswer(Instant aSentAt)
+StoreOutages::OnAnswer(Instant aSentAt)
 {
   if (m_failed >= kMinFailedCalls && aSentAt > *m_first_failed) {
     m_past.push_back({ *m_first_failed, aSentAt });
@@ -28,7 +28,7 @@
 }
 
 void
-StoreAbsences::OnFailure(Instant aNow)
+StoreOutages::OnFailure(Instant aNow)
 {
   if (!m_first_failed) {
     m_first_failed = aNow;
@@ -37,26 +37,28 @@
 }
 
 Instant
-StoreAbsences::EndOf(Instant aBegan, const HeardTime& aTime, Instant aNow) const
+StoreOutages::EndOf(Instant aBegan,
+                    const AvailableTimeLimits& aTime,
+                    Instant aNow) const
 {
   std::deque<Outage> outages = m_past;
   if (m_failed >= kMinFailedCalls) {
     outages.push_back({ *m_first_failed, aNow });
   }
   Instant start = aBegan;
-  Duration left = aTime.in_all;
+  Duration left = aTime.max_total;
   for (const Outage& outage : outages) {
     if (outage.to <= start) {
       continue;
     }
     const Duration available = std::max(outage.from - start, Duration(0));
-    if (available >= std::min(aTime.in_one, left)) {
+    if (available >= std::min(aTime.max_continuous, left)) {
       break;
     }
     left -= available;
     start = outage.to;
   }
-  return start + std::min(aTime.in_one, left);
+  return start + std::min(aTime.max_continuous, left);
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/membership/store_absences_test.cpp
+++ b/src/jujubehead/core/membership/store_outages_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/membership/store_absences.hpp"
+#include "jujubehead/core/membership/store_outages.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 #include <rapidcheck.h>           // for check
@@ -9,7 +9,7 @@
 
 namespace {
 
-const HeardTime kTime{ seconds(10), seconds(14) };
+const AvailableTimeLimits kTime{ seconds(10), seconds(14) };
 
 Instant
 At(int aMs)
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_GROUP(StoreAbsences)
+TEST_GROUP(StoreOutages)
 {
-  StoreAbsences outages;
+  StoreOutages outages;
 
   void AddOutage(int aFromMs, int aToMs)
   {
@@ -31,12 +31,12 @@
   }
 };
 
-TEST(StoreAbsences, WithoutOutagesAPeriodEndsAfterItsLength)
+TEST(StoreOutages, WithoutOutagesAPeriodEndsAfterItsLength)
 {
   CHECK(outages.EndOf(At(1000), kTime, At(5000)) == At(11000));
 }
 
-TEST(StoreAbsences, ASingleFailureIsNoOutage)
+TEST(StoreOutages, ASingleFailureIsNoOutage)
 {
   outages.OnFailure(At(3000));
   CHECK(outages.EndOf(At(1000), kTime, At(5000)) == At(11000));
@@ -46,7 +46,7 @@
   CHECK(outages.EndOf(At(1000), kTime, At(9000)) == At(11000));
 }
 
-TEST(StoreAbsences, APeriodRestartsAfterAnOutageWithinTheTotal)
+TEST(StoreOutages, APeriodRestartsAfterAnOutageWithinTheTotal)
 {
   AddOutage(3000, 6000);
   CHECK(outages.EndOf(At(1000), kTime, At(7000)) == At(16000));
@@ -55,7 +55,7 @@
   CHECK(outages.EndOf(At(1000), kTime, At(21000)) == At(26000));
 }
 
-TEST(StoreAbsences, TheEndMovesDuringAnOutage)
+TEST(StoreOutages, TheEndMovesDuringAnOutage)
 {
   outages.OnFailure(At(3000));
   outages.OnFailure(At(3200));
@@ -63,20 +63,20 @@
   CHECK(outages.EndOf(At(1000), kTime, At(9000)) == At(19000));
 }
 
-TEST(StoreAbsences, AnEndThatHasPassedDoesNotMove)
+TEST(StoreOutages, AnEndThatHasPassedDoesNotMove)
 {
   AddOutage(11500, 20000);
   CHECK(outages.EndOf(At(1000), kTime, At(21000)) == At(11000));
 }
 
-TEST(StoreAbsences, OutagesBeforeTheBeginDoNotCount)
+TEST(StoreOutages, OutagesBeforeTheBeginDoNotCount)
 {
   AddOutage(100, 900);
   AddOutage(950, 1500);
   CHECK(outages.EndOf(At(1000), kTime, At(2000)) == At(11500));
 }
 
-TEST(StoreAbsences, ManyShortOutagesDoNotMoveTheEndForever)
+TEST(StoreOutages, ManyShortOutagesDoNotMoveTheEndForever)
 {
   for (int ms = 5000; ms <= 60000; ms += 5000) {
     AddOutage(ms, ms + 300);
@@ -84,10 +84,10 @@
   CHECK(outages.EndOf(At(0), kTime, At(60000)) < At(16000));
 }
 
-TEST(StoreAbsences, TheTotalAvailableTimeIsNeverExceeded)
+TEST(StoreOutages, TheTotalAvailableTimeIsNeverExceeded)
 {
   CHECK(rc::check("the available time until the end is at most the total", [] {
-    StoreAbsences seen;
+    StoreOutages seen;
     int now = 0;
     Duration available{};
     const auto spans = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -104,6 +104,6 @@
     }
     available +=
       std::max(seen.EndOf(At(0), kTime, At(now)) - At(now), Duration(0));
-    RC_ASSERT(available <= kTime.in_all);
+    RC_ASSERT(available <= kTime.max_total);
   }));
 }
--- a/src/jujubehead/core/membership/store_paths_test.cpp
+++ b/src/jujubehead/core/membership/store_paths_test.cpp
@@ -24,20 +24,20 @@
   STRCMP_EQUAL("store:1", paths.Next(now).c_str());
   paths.OnAnswer("store:1");
   STRCMP_EQUAL("store:1", paths.Next(now).c_str());
-  CHECK(paths.IsStraight());
+  CHECK(paths.IsDirect());
 }
 
 TEST(StorePaths, AfterAFailureCallsAreRelayed)
 {
   SetThree();
   paths.OnFailure("store:1", now);
-  CHECK_FALSE(paths.IsStraight());
+  CHECK_FALSE(paths.IsDirect());
   const std::string address = paths.Next(now);
   CHECK(address != "store:1");
   // It stays with a relay that works.
   paths.OnAnswer(address);
   STRCMP_EQUAL(address.c_str(), paths.Next(now + milliseconds(1)).c_str());
-  CHECK_FALSE(paths.IsStraight());
+  CHECK_FALSE(paths.IsDirect());
 }
 
 TEST(StorePaths, EachFailureMovesOnToTheNextRelay)
@@ -73,7 +73,7 @@
   CHECK(paths.Next(now + milliseconds(601)) != "store:1");
   paths.OnAnswer("store:1");
   STRCMP_EQUAL("store:1", paths.Next(now + milliseconds(602)).c_str());
-  CHECK(paths.IsStraight());
+  CHECK(paths.IsDirect());
 }
 
 TEST(StorePaths, WithoutOtherInstancesAllCallsAreDirect)
--- a/src/jujubehead/core/ownership.cpp
+++ b/src/jujubehead/core/ownership.cpp
@@ -43,9 +43,9 @@
 }
 
 void
-Ownership::OnHandedOver(const HandedOver& aHandover, Instant aNow)
+Ownership::OnHandover(const GroupHandover& aHandover, Instant aNow)
 {
-  m_impl->OnHandedOver(aHandover, aNow);
+  m_impl->OnHandover(aHandover, aNow);
 }
 
 void
@@ -103,9 +103,9 @@
 }
 
 Instant
-Ownership::LeaseUntil() const
+Ownership::LeaseExpiresAt() const
 {
-  return m_impl->LeaseUntil();
+  return m_impl->LeaseExpiresAt();
 }
 
 std::optional<LeaseRow>
--- a/src/jujubehead/core/ownership_impl.cpp
+++ b/src/jujubehead/core/ownership_impl.cpp
@@ -136,7 +136,7 @@
 
 void
 Ownership::Impl::On(const InstanceId& aFrom,
-                    const OwnersAnnounce& aAnnouncement,
+                    const OwnersAnnouncement& aAnnouncement,
                     Instant aNow)
 {
   for (const LeaseRow& row : aAnnouncement.opened) {
@@ -170,10 +170,10 @@
 
 void
 Ownership::Impl::On(const InstanceId& aFrom,
-                    const OwnersAsk& /*aAsk*/,
+                    const OwnersQuery& /*aAsk*/,
                     Instant aNow)
 {
-  OwnersAnnounce all;
+  OwnersAnnouncement all;
   for (const auto& [group, row] : m_map.Groups()) {
     all.groups.push_back(row);
   }
@@ -184,7 +184,7 @@
 }
 
 void
-Ownership::Impl::OnHandedOver(const HandedOver& aHandover, Instant aNow)
+Ownership::Impl::OnHandover(const GroupHandover& aHandover, Instant aNow)
 {
   const GroupRow& row = aHandover.row;
   const bool owned_here = m_lease && row.owner == m_lease->Row().lease;
@@ -193,9 +193,9 @@
     return;
   }
   StartOwning start;
-  start.is_handed = aHandover.complete;
+  start.has_all_permits = aHandover.complete;
   start.held = aHandover.held;
-  start.previous_end = aNow;
+  start.previous_grants_end = aNow;
   Start(row, true, std::move(start));
 }
 
@@ -265,7 +265,7 @@
     if (owned_here) {
       StartOwning start;
       start.is_first = aRow.rev == 1;
-      start.previous_end = aNow;
+      start.previous_grants_end = aNow;
       Start(aRow, true, std::move(start));
     }
     return;
@@ -436,7 +436,7 @@
                            !m_unannounced.opened.empty() ||
                            !m_unannounced.ended.empty();
   if (has_changes) {
-    const OwnersAnnounce announce = std::exchange(m_unannounced, {});
+    const OwnersAnnouncement announce = std::exchange(m_unannounced, {});
     for (const InstanceId& other : m_watch.Others()) {
       m_actions.emplace_back(SendMessage{ other, announce });
     }
@@ -448,7 +448,8 @@
 Ownership::Impl::MayAdmit(const GroupId& aGroup, Instant aNow) const
 {
   const auto held = m_held.find(aGroup);
-  return held != m_held.end() && !held->second.moving && aNow < LeaseUntil();
+  return held != m_held.end() && !held->second.moving &&
+         aNow < LeaseExpiresAt();
 }
 
 std::optional<std::uint64_t>
@@ -492,7 +493,7 @@
 }
 
 Instant
-Ownership::Impl::LeaseUntil() const
+Ownership::Impl::LeaseExpiresAt() const
 {
   return m_lease ? m_lease->ExpiresAt() : Instant::min();
 }
--- a/src/jujubehead/core/ownership_impl.hpp
+++ b/src/jujubehead/core/ownership_impl.hpp
@@ -29,7 +29,7 @@
   void OnMessage(const InstanceId& aFrom,
                  const OwnershipMessage& aMessage,
                  Instant aNow);
-  void OnHandedOver(const HandedOver& aHandover, Instant aNow);
+  void OnHandover(const GroupHandover& aHandover, Instant aNow);
   void OnWritten(std::uint64_t aToken, WriteOutcome aOutcome, Instant aNow);
   void OnRead(const RowsRead& aRead, Instant aNow);
   void Tick(Instant aNow);
@@ -41,7 +41,7 @@
     const GroupId& aGroup) const;
   [[nodiscard]] std::optional<InstanceId> OwnerOf(const GroupId& aGroup) const;
   [[nodiscard]] std::vector<GroupId> Owned() const;
-  [[nodiscard]] Instant LeaseUntil() const;
+  [[nodiscard]] Instant LeaseExpiresAt() const;
   [[nodiscard]] std::optional<LeaseRow> Lease() const;
   [[nodiscard]] bool IsReady() const { return m_ready; }
   [[nodiscard]] bool HasLeft() const { return m_left; }
@@ -72,9 +72,9 @@
   void On(const InstanceId& aFrom, const VoteRequest& aRequest, Instant aNow);
   void On(const InstanceId& aFrom, const VoteReply& aReply, Instant aNow);
   void On(const InstanceId& aFrom,
-          const OwnersAnnounce& aAnnouncement,
+          const OwnersAnnouncement& aAnnouncement,
           Instant aNow);
-  void On(const InstanceId& aFrom, const OwnersAsk& aAsk, Instant aNow);
+  void On(const InstanceId& aFrom, const OwnersQuery& aAsk, Instant aNow);
   [[nodiscard]] VoteReply AnswerVote(const VoteRequest& aRequest, Instant aNow);
   void Send(const InstanceId& aTo, OwnershipMessage aMessage, Instant aNow);
   void ApplyRow(const GroupRow& aRow, Instant aNow);
@@ -188,7 +188,7 @@
   bool m_left = false;
 
   std::vector<OwnershipAction> m_actions;
-  OwnersAnnounce m_unannounced;
+  OwnersAnnouncement m_unannounced;
 };
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/ownership_tick.cpp
+++ b/src/jujubehead/core/ownership_tick.cpp
@@ -1,7 +1,7 @@
 #include <algorithm> // for find, all_of
 #include <utility>   // for move
 
-#include "jujubehead/core/rendezvous.hpp" // for HomesOf
+#include "jujubehead/core/rendezvous.hpp" // for RankByRendezvous
 #include "ownership_impl.hpp"
 
 namespace jujubehead::core {
@@ -133,7 +133,7 @@
     ++row.epoch;
     row.owner = m_lease->Row().lease;
     StartOwning start;
-    start.previous_end = aTakeover.previous_end;
+    start.previous_grants_end = aTakeover.previous_grants_end;
     Start(row, false, std::move(start));
   }
 }
@@ -172,7 +172,7 @@
   m_must_reread = true;
   const auto candidates = Candidates(aNow);
   for (const GroupId& group : m_groups) {
-    const auto home = HomesOf(group.View(), candidates, 1);
+    const auto home = RankByRendezvous(group.View(), candidates, 1);
     const bool assigned_here = !home.empty() && home.front() == m_options.self;
     if (assigned_here && !m_held.contains(group)) {
       m_reread.insert(group);
@@ -196,7 +196,7 @@
       const auto pick = static_cast<std::size_t>(
         m_gate.Jitter(Duration(static_cast<Duration::rep>(others.size() - 1)))
           .count());
-      Send(others[pick], OwnersAsk{}, aNow);
+      Send(others[pick], OwnersQuery{}, aNow);
     }
   }
   m_scan_at = aNow + m_options.rules.scan_interval +
@@ -489,7 +489,7 @@
 Ownership::Impl::DelayFor(std::string_view aKey,
                           const std::vector<InstanceId>& aCandidates) const
 {
-  const auto homes = HomesOf(aKey, aCandidates, kMaxCandidates);
+  const auto homes = RankByRendezvous(aKey, aCandidates, kMaxCandidates);
   const auto self = std::find(homes.begin(), homes.end(), m_options.self);
   if (self == homes.end()) {
     return std::nullopt;
@@ -673,7 +673,7 @@
   }
   const auto candidates = Candidates(aNow);
   for (auto& [group, holding] : m_held) {
-    const auto home = HomesOf(group.View(), candidates, 1);
+    const auto home = RankByRendezvous(group.View(), candidates, 1);
     const bool stays = home.empty() || home.front() == m_options.self;
     if (stays || !holding.recorded || moving >= max_moves) {
       continue;
@@ -701,7 +701,7 @@
         !m_lease->IsKnown(holding.moving_since)) {
       continue;
     }
-    const auto home = HomesOf(group.View(), candidates, 1);
+    const auto home = RankByRendezvous(group.View(), candidates, 1);
     if (home.empty() || home.front() == m_options.self) {
       holding.moving = false;
       continue;
@@ -782,7 +782,7 @@
   });
   for (const auto& [group, handover] : m_pending_handovers) {
     Send(handover.row.owner.instance,
-         OwnersAnnounce{ { handover.row }, {}, {} },
+         OwnersAnnouncement{ { handover.row }, {}, {} },
          aNow);
   }
 }
--- a/src/jujubehead/core/permit_holder.cpp
+++ b/src/jujubehead/core/permit_holder.cpp
@@ -21,13 +21,14 @@
 }
 
 void
-PermitHolder::Asked(const RequestId& aRequest, const AccountId& aAccount)
+PermitHolder::RegisterRequest(const RequestId& aRequest,
+                              const AccountId& aAccount)
 {
   m_waiting.try_emplace(aRequest, Waiting{ aAccount, {} });
 }
 
 bool
-PermitHolder::Forget(const RequestId& aRequest)
+PermitHolder::RemoveRequest(const RequestId& aRequest)
 {
   return m_waiting.erase(aRequest) != 0;
 }
@@ -43,13 +44,13 @@
   }
   const auto waiting = m_waiting.find(aGrant.request);
   if (waiting == m_waiting.end()) {
-    return GiveBackPermit{ permit };
+    return ReleasePermit{ permit };
   }
   const bool late = aNow >= aSentAt + m_rules.start_window;
   if (late || permit <= waiting->second.last_returned) {
     waiting->second.last_returned =
       std::max(waiting->second.last_returned, permit);
-    return GiveBackPermit{ permit };
+    return ReleasePermit{ permit };
   }
   m_held.emplace(
     permit,
@@ -60,16 +61,16 @@
 }
 
 void
-PermitHolder::Ended(const PermitId& aPermit)
+PermitHolder::OnRunEnded(const PermitId& aPermit)
 {
   m_held.erase(aPermit);
 }
 
-HoldingsAnswer
-PermitHolder::Answer(const HoldingsQuery& aQuery)
+HoldingsReply
+PermitHolder::AnswerQuery(const HoldingsQuery& aQuery)
 {
   m_answered = std::max(m_answered, aQuery.up_to);
-  HoldingsAnswer answer{ m_self, aQuery.up_to, {}, m_process };
+  HoldingsReply answer{ m_self, aQuery.up_to, {}, m_process };
   for (const auto& [permit, held] : m_held) {
     if (permit <= aQuery.up_to) {
       answer.held.push_back(held);
--- a/src/jujubehead/core/permit_ledger.cpp
+++ b/src/jujubehead/core/permit_ledger.cpp
@@ -109,7 +109,7 @@
 }
 
 std::vector<LedgerEntry>
-PermitLedger::ApplyAnswer(const HoldingsAnswer& aAnswer, Instant aNow)
+PermitLedger::ApplyAnswer(const HoldingsReply& aAnswer, Instant aNow)
 {
   RecordContact(aAnswer.holder, aAnswer.process, aNow);
   std::set<PermitId> listed;
@@ -194,11 +194,11 @@
 }
 
 std::vector<InstanceId>
-PermitLedger::HoldersToAsk(Instant aNow) const
+PermitLedger::HoldersToQuery(Instant aNow) const
 {
   std::set<InstanceId> ask;
   for (const auto& [permit, entry] : m_outstanding) {
-    if (entry.confirmed_at + m_rules.ask_after <= aNow) {
+    if (entry.confirmed_at + m_rules.query_after <= aNow) {
       ask.insert(entry.held.holder);
     }
   }
--- a/src/jujubehead/core/permit_ledger.hpp
+++ b/src/jujubehead/core/permit_ledger.hpp
@@ -52,13 +52,13 @@
   /// @return whether the permit is new to the ledger.
   bool Adopt(const HeldPermit& aHeld, Instant aNow);
   /// @return the entries that the holder no longer holds.
-  std::vector<LedgerEntry> ApplyAnswer(const HoldingsAnswer& aAnswer,
+  std::vector<LedgerEntry> ApplyAnswer(const HoldingsReply& aAnswer,
                                        Instant aNow);
   /// @return the entries of unresponsive holders that the target no longer
   /// runs.
   std::vector<LedgerEntry> ApplyReport(const TargetReport& aReport);
 
-  [[nodiscard]] std::vector<InstanceId> HoldersToAsk(Instant aNow) const;
+  [[nodiscard]] std::vector<InstanceId> HoldersToQuery(Instant aNow) const;
   [[nodiscard]] bool NeedsTargetReport(Instant aNow) const;
   [[nodiscard]] std::vector<HeldPermit> Held() const;
 
--- a/src/jujubehead/core/permit_book.cpp
+++ b/src/jujubehead/core/permit_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/permit_book.hpp"
+#include "jujubehead/core/permit_scheduler.hpp"
 
 #include <algorithm> // for max, min
 #include <utility>   // for move
@@ -25,7 +25,7 @@
 
 } // namespace
 
-class PermitBook::Impl
+class PermitScheduler::Impl
 {
 public:
   Impl(std::uint64_t aEpoch, std::uint32_t aLimit, PermitRules aRules)
@@ -52,7 +52,7 @@
       m_decided.emplace_back(Grant(*entry));
     } else if (WaitingRequest* waiting = m_queue.Find(aRequest.request)) {
       waiting->request.mark = aRequest.mark;
-      waiting->heard_at = aNow;
+      waiting->last_request_at = aNow;
     } else {
       Enqueue(aRequest, aNow);
     }
@@ -86,7 +86,7 @@
   {
     RefuseExpired(aNow);
     while (m_admits && m_ledger.UsedSlots() < m_limit) {
-      auto chosen = m_queue.Pop(aNow - m_rules.repeat_within);
+      auto chosen = m_queue.Pop(aNow - m_rules.request_ttl);
       if (!chosen) {
         break;
       }
@@ -115,7 +115,7 @@
     }
   }
 
-  void AcceptHolding(const HoldingsAnswer& aAnswer, Instant aNow)
+  void ApplyHoldings(const HoldingsReply& aAnswer, Instant aNow)
   {
     Adopt(aAnswer.held, aNow);
     for (const LedgerEntry& entry : m_ledger.ApplyAnswer(aAnswer, aNow)) {
@@ -123,7 +123,7 @@
     }
   }
 
-  void ObserveTargetReport(const TargetReport& aReport)
+  void ApplyTargetReport(const TargetReport& aReport)
   {
     for (const LedgerEntry& entry : m_ledger.ApplyReport(aReport)) {
       ReturnSlot(entry);
@@ -164,8 +164,10 @@
 
   [[nodiscard]] Duration ExpectedWait(const PermitRequest& aRequest) const
   {
-    return m_queue.ExpectedWait(
-      aRequest.account, m_queue.Ahead(aRequest), UsableSlots(), FreeSlots());
+    return m_queue.ExpectedWait(aRequest.account,
+                                m_queue.CountAhead(aRequest),
+                                UsableSlots(),
+                                FreeSlots());
   }
 
   void Refuse(const PermitRequest& aRequest, RefusalReason aReason)
@@ -192,10 +194,10 @@
   void RefuseExpired(Instant aNow)
   {
     for (const WaitingRequest& waiting :
-         m_queue.TakeHopeless(aNow, aNow - m_rules.request_timeout)) {
+         m_queue.TakeExpired(aNow, aNow - m_rules.request_timeout)) {
       const bool silent = waiting.request.deadline >= aNow;
       Refuse(waiting.request,
-             silent ? RefusalReason::kHolderSilent : RefusalReason::kDeadline);
+             silent ? RefusalReason::kHolderTimeout : RefusalReason::kDeadline);
     }
   }
 
@@ -218,7 +220,7 @@
                    request.account,
                    request.process };
     entry.granted_at = aNow;
-    entry.last_request_at = aChosen.waiting.heard_at;
+    entry.last_request_at = aChosen.waiting.last_request_at;
     entry.confirmed_at = aNow;
     entry.cost_tokens = request.cost_tokens;
     entry.charged = aChosen.charged;
@@ -237,7 +239,7 @@
     const Duration used = aNow - aEntry.granted_at;
     m_queue.Settle(aEntry.held.account, aEntry.charged, used);
     if (aEntry.started) {
-      m_queue.Learn(aEntry.held.account, aEntry.cost_tokens, used);
+      m_queue.AddSample(aEntry.held.account, aEntry.cost_tokens, used);
     }
   }
 
@@ -251,170 +253,170 @@
   std::vector<PermitDecision> m_decided;
 };
 
-PermitBook::PermitBook(std::unique_ptr<Impl> aImpl)
+PermitScheduler::PermitScheduler(std::unique_ptr<Impl> aImpl)
   : m_impl(std::move(aImpl))
 {
 }
 
-PermitBook::PermitBook(PermitBook&&) noexcept = default;
-PermitBook&
-PermitBook::operator=(PermitBook&&) noexcept = default;
-PermitBook::~PermitBook() = default;
+PermitScheduler::PermitScheduler(PermitScheduler&&) noexcept = default;
+PermitScheduler&
+PermitScheduler::operator=(PermitScheduler&&) noexcept = default;
+PermitScheduler::~PermitScheduler() = default;
 
-PermitBook
-PermitBook::ForEpoch(std::uint64_t aEpoch,
-                     std::uint32_t aLimit,
-                     PermitRules aRules)
+PermitScheduler
+PermitScheduler::ForEpoch(std::uint64_t aEpoch,
+                          std::uint32_t aLimit,
+                          PermitRules aRules)
 {
-  return PermitBook(std::make_unique<Impl>(aEpoch, aLimit, aRules));
+  return PermitScheduler(std::make_unique<Impl>(aEpoch, aLimit, aRules));
 }
 
 void
-PermitBook::SetLimit(std::uint32_t aLimit)
+PermitScheduler::SetLimit(std::uint32_t aLimit)
 {
   m_impl->m_limit = aLimit;
 }
 
 void
-PermitBook::SetShare(AccountShare aShare)
+PermitScheduler::SetShare(AccountShare aShare)
 {
   m_impl->m_queue.SetShare(std::move(aShare));
 }
 
 void
-PermitBook::SetShares(std::span<const AccountShare> aShares)
+PermitScheduler::SetShares(std::span<const AccountShare> aShares)
 {
   m_impl->SetShares(aShares);
 }
 
 bool
-PermitBook::HasShare(const AccountId& aAccount) const
+PermitScheduler::HasShare(const AccountId& aAccount) const
 {
   return m_impl->m_queue.Share(aAccount) != nullptr;
 }
 
 void
-PermitBook::Request(const PermitRequest& aRequest, Instant aNow)
+PermitScheduler::Request(const PermitRequest& aRequest, Instant aNow)
 {
   m_impl->Request(aRequest, aNow);
 }
 
 void
-PermitBook::Withdraw(const RequestId& aRequest, Instant aNow)
+PermitScheduler::Withdraw(const RequestId& aRequest, Instant aNow)
 {
   m_impl->Withdraw(aRequest, aNow);
 }
 
 void
-PermitBook::Started(const PermitId& aPermit, Instant aNow)
+PermitScheduler::Started(const PermitId& aPermit, Instant aNow)
 {
   m_impl->Started(aPermit, aNow);
 }
 
 void
-PermitBook::Release(const PermitId& aPermit, Instant aNow)
+PermitScheduler::Release(const PermitId& aPermit, Instant aNow)
 {
   m_impl->Release(aPermit, aNow);
 }
 
 std::vector<PermitDecision>
-PermitBook::Decide(Instant aNow)
+PermitScheduler::Decide(Instant aNow)
 {
   return m_impl->Decide(aNow);
 }
 
 PermitQuote
-PermitBook::Quote(Instant /*aNow*/, const AccountId& aAccount) const
+PermitScheduler::Quote(Instant /*aNow*/, const AccountId& aAccount) const
 {
   return m_impl->Quote(aAccount);
 }
 
 void
-PermitBook::ReserveUnknown(std::uint32_t aCount, Instant aLastStart)
+PermitScheduler::ReserveUnknown(std::uint32_t aCount, Instant aLastStart)
 {
   m_impl->m_ledger.ReserveUnknown(aCount, aLastStart);
 }
 
 void
-PermitBook::Adopt(std::span<const HeldPermit> aPermits, Instant aNow)
+PermitScheduler::Adopt(std::span<const HeldPermit> aPermits, Instant aNow)
 {
   m_impl->Adopt(aPermits, aNow);
 }
 
 HoldingsQuery
-PermitBook::Query() const
+PermitScheduler::Query() const
 {
   return m_impl->Query();
 }
 
 std::vector<InstanceId>
-PermitBook::HoldersToAsk(Instant aNow) const
+PermitScheduler::HoldersToQuery(Instant aNow) const
 {
-  return m_impl->m_ledger.HoldersToAsk(aNow);
+  return m_impl->m_ledger.HoldersToQuery(aNow);
 }
 
 void
-PermitBook::AcceptHolding(const HoldingsAnswer& aAnswer, Instant aNow)
+PermitScheduler::ApplyHoldings(const HoldingsReply& aAnswer, Instant aNow)
 {
-  m_impl->AcceptHolding(aAnswer, aNow);
+  m_impl->ApplyHoldings(aAnswer, aNow);
 }
 
 void
-PermitBook::ObserveTargetReport(const TargetReport& aReport)
+PermitScheduler::ApplyTargetReport(const TargetReport& aReport)
 {
-  m_impl->ObserveTargetReport(aReport);
+  m_impl->ApplyTargetReport(aReport);
 }
 
 bool
-PermitBook::NeedsTargetReport(Instant aNow) const
+PermitScheduler::NeedsTargetReport(Instant aNow) const
 {
   return m_impl->m_ledger.NeedsTargetReport(aNow);
 }
 
 void
-PermitBook::StopAdmitting()
+PermitScheduler::StopAdmitting()
 {
   m_impl->StopAdmitting();
 }
 
 void
-PermitBook::ResumeAdmitting()
+PermitScheduler::ResumeAdmitting()
 {
   m_impl->m_admits = true;
 }
 
 bool
-PermitBook::Admits() const
+PermitScheduler::Admits() const
 {
   return m_impl->m_admits;
 }
 
 std::uint64_t
-PermitBook::Epoch() const
+PermitScheduler::Epoch() const
 {
   return m_impl->m_epoch;
 }
 
 std::uint32_t
-PermitBook::Limit() const
+PermitScheduler::Limit() const
 {
   return m_impl->m_limit;
 }
 
 std::vector<HeldPermit>
-PermitBook::Held() const
+PermitScheduler::Held() const
 {
   return m_impl->m_ledger.Held();
 }
 
 std::uint32_t
-PermitBook::Reserved() const
+PermitScheduler::Reserved() const
 {
   return m_impl->m_ledger.Reserved();
 }
 
 std::uint32_t
-PermitBook::Waiting() const
+PermitScheduler::Waiting() const
 {
   return m_impl->m_queue.Size();
 }
