--- a/src/jujubehead/core/permit_book_test.cpp
+++ b/src/jujubehead/core/permit_scheduler_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/permit_book.hpp"
+#include "jujubehead/core/permit_scheduler.hpp"
 
 #include <map>    // for map
 #include <string> // for string, to_string
@@ -16,7 +16,7 @@
 
 struct Fixture
 {
-  PermitBook scheduler = PermitBook::ForEpoch(3, 4);
+  PermitScheduler scheduler = PermitScheduler::ForEpoch(3, 4);
   Instant now{ 1h };
   int next = 0;
 
@@ -55,12 +55,12 @@
 
 } // namespace
 
-TEST_GROUP(PermitBook)
+TEST_GROUP(PermitScheduler)
 {
   Fixture fixture;
 };
 
-TEST(PermitBook, GrantsUpToTheLimitAndAgainAfterReleases)
+TEST(PermitScheduler, GrantsUpToTheLimitAndAgainAfterReleases)
 {
   for (int i = 0; i < 6; ++i) {
     fixture.SendRequest(kAccount);
@@ -72,7 +72,7 @@
   CHECK_EQUAL(1, fixture.Granted().size());
 }
 
-TEST(PermitBook, AResentGrantedRequestGetsTheSamePermit)
+TEST(PermitScheduler, AResentGrantedRequestGetsTheSamePermit)
 {
   const RequestId request = fixture.SendRequest(kAccount);
   const auto first = fixture.Granted();
@@ -84,33 +84,33 @@
   CHECK_EQUAL(1, fixture.scheduler.Held().size());
 }
 
-TEST(PermitBook, ANewOwnerReservesUnreportedPermits)
+TEST(PermitScheduler, ANewOwnerReservesUnreportedPermits)
 {
   fixture.scheduler.ReserveUnknown(4, fixture.now + 2s);
   fixture.SendRequest(kAccount);
   CHECK_EQUAL(0, fixture.Granted().size());
 
   const HeldPermit old{ { 2, 9 }, RequestId("old"), kEntry, kAccount };
-  fixture.scheduler.AcceptHolding(
+  fixture.scheduler.ApplyHoldings(
     { kEntry, fixture.scheduler.Query().up_to, { old } }, fixture.now);
   CHECK_EQUAL(3, fixture.scheduler.Reserved());
   fixture.scheduler.Release(old.permit, fixture.now);
   CHECK_EQUAL(1, fixture.Granted().size());
 }
 
-TEST(PermitBook, ATargetReportFreesReservedSlots)
+TEST(PermitScheduler, ATargetReportFreesReservedSlots)
 {
   fixture.scheduler.ReserveUnknown(4, fixture.now + 2s);
-  fixture.scheduler.ObserveTargetReport({ fixture.now, {} });
+  fixture.scheduler.ApplyTargetReport({ fixture.now, {} });
   CHECK_EQUAL(4, fixture.scheduler.Reserved());
-  fixture.scheduler.ObserveTargetReport(
+  fixture.scheduler.ApplyTargetReport(
     { fixture.now + 4s, { RequestId("unattributed") } });
   CHECK_EQUAL(1, fixture.scheduler.Reserved());
-  fixture.scheduler.ObserveTargetReport({ fixture.now + 5s, {} });
+  fixture.scheduler.ApplyTargetReport({ fixture.now + 5s, {} });
   CHECK_EQUAL(0, fixture.scheduler.Reserved());
 }
 
-TEST(PermitBook, RefusesARequestThatCannotStartByItsDeadline)
+TEST(PermitScheduler, RefusesARequestThatCannotStartByItsDeadline)
 {
   for (int i = 0; i < 4; ++i) {
     fixture.SendRequest(kAccount);
@@ -134,7 +134,7 @@
   CHECK(refusal->retry_after > 2s);
 }
 
-TEST(PermitBook, StoppingRefusesWaitingRequestsAndKeepsRunningOnes)
+TEST(PermitScheduler, StoppingRefusesWaitingRequestsAndKeepsRunningOnes)
 {
   for (int i = 0; i < 6; ++i) {
     fixture.SendRequest(kAccount);
--- a/src/jujubehead/core/permit_shares_test.cpp
+++ b/src/jujubehead/core/permit_shares_test.cpp
@@ -4,7 +4,7 @@
 
 #include <CppUTest/TestHarness.h> // for TEST
 
-#include "jujubehead/core/permit_book.hpp" // for PermitBook
+#include "jujubehead/core/permit_scheduler.hpp" // for PermitScheduler
 
 using namespace jujubehead::core;
 using namespace std::chrono_literals;
@@ -27,7 +27,7 @@
   };
 
   explicit TargetSimulation(std::uint32_t aLimit)
-    : m_scheduler(PermitBook::ForEpoch(1, aLimit))
+    : m_scheduler(PermitScheduler::ForEpoch(1, aLimit))
     , m_limit(aLimit)
   {
   }
@@ -124,7 +124,7 @@
     m_scheduler.Started(grant->permit, m_now);
   }
 
-  PermitBook m_scheduler;
+  PermitScheduler m_scheduler;
   std::uint32_t m_limit;
   Instant m_now{ 1h };
   std::mt19937_64 m_random{ 20261202 };
--- a/src/jujubehead/core/remote_clock.cpp
+++ b/src/jujubehead/core/remote_clock.cpp
@@ -90,28 +90,28 @@
 }
 
 std::optional<RemoteMs>
-RemoteClock::LeastAt(Instant aWhen) const
+RemoteClock::LowerBoundAt(Instant aWhen) const
 {
   return m_is_known ? std::optional(LowerOffset(aWhen) + Floor(aWhen))
                     : std::nullopt;
 }
 
 std::optional<RemoteMs>
-RemoteClock::MostAt(Instant aWhen) const
+RemoteClock::UpperBoundAt(Instant aWhen) const
 {
   return m_is_known ? std::optional(UpperOffset(aWhen) + Ceil(aWhen))
                     : std::nullopt;
 }
 
 std::optional<Instant>
-RemoteClock::LatestOf(RemoteMs aReading, Instant aNow) const
+RemoteClock::LatestTimeOf(RemoteMs aReading, Instant aNow) const
 {
   return m_is_known ? std::optional(InstantOf(aReading - LowerOffset(aNow)))
                     : std::nullopt;
 }
 
 std::optional<Instant>
-RemoteClock::EarliestOf(RemoteMs aReading, Instant aNow) const
+RemoteClock::EarliestTimeOf(RemoteMs aReading, Instant aNow) const
 {
   return m_is_known ? std::optional(InstantOf(aReading - UpperOffset(aNow)))
                     : std::nullopt;
--- a/src/jujubehead/core/remote_clock_test.cpp
+++ b/src/jujubehead/core/remote_clock_test.cpp
@@ -28,27 +28,27 @@
 
 TEST(RemoteClock, IsUnknownBeforeItsFirstReading)
 {
-  CHECK_FALSE(clock.LeastAt(At(1)).has_value());
-  CHECK_FALSE(clock.MostAt(At(1)).has_value());
-  CHECK_FALSE(clock.LatestOf(1, At(1)).has_value());
+  CHECK_FALSE(clock.LowerBoundAt(At(1)).has_value());
+  CHECK_FALSE(clock.UpperBoundAt(At(1)).has_value());
+  CHECK_FALSE(clock.LatestTimeOf(1, At(1)).has_value());
 }
 
 TEST(RemoteClock, AReadingIsBoundedByRequestAndReply)
 {
   clock.OnReading(kOffsetMs + 110, At(100), At(130));
-  LONGS_EQUAL(kOffsetMs + 110, *clock.LeastAt(At(130)));
+  LONGS_EQUAL(kOffsetMs + 110, *clock.LowerBoundAt(At(130)));
   // 1 ms more, for possible drift since the request.
-  LONGS_EQUAL(kOffsetMs + 141, *clock.MostAt(At(130)));
-  CHECK(At(220) == *clock.LatestOf(kOffsetMs + 200, At(130)));
-  CHECK(At(189) == *clock.EarliestOf(kOffsetMs + 200, At(130)));
+  LONGS_EQUAL(kOffsetMs + 141, *clock.UpperBoundAt(At(130)));
+  CHECK(At(220) == *clock.LatestTimeOf(kOffsetMs + 200, At(130)));
+  CHECK(At(189) == *clock.EarliestTimeOf(kOffsetMs + 200, At(130)));
 }
 
 TEST(RemoteClock, AReplacedClockResetsTheBounds)
 {
   clock.OnReading(kOffsetMs + 110, At(100), At(130));
   clock.OnReading(50, At(200), At(210));
-  LONGS_EQUAL(50, *clock.LeastAt(At(210)));
-  LONGS_EQUAL(61, *clock.MostAt(At(210)));
+  LONGS_EQUAL(50, *clock.LowerBoundAt(At(210)));
+  LONGS_EQUAL(61, *clock.UpperBoundAt(At(210)));
 }
 
 namespace {
@@ -70,10 +70,10 @@
     now += reply_ms;
     const Instant received_at{ milliseconds(now) };
     clock.OnReading(reading, sent_at, received_at);
-    if (*clock.LeastAt(received_at) > actual() ||
-        *clock.MostAt(received_at) < actual() ||
-        *clock.EarliestOf(actual(), received_at) > received_at ||
-        *clock.LatestOf(actual(), received_at) < received_at) {
+    if (*clock.LowerBoundAt(received_at) > actual() ||
+        *clock.UpperBoundAt(received_at) < actual() ||
+        *clock.EarliestTimeOf(actual(), received_at) > received_at ||
+        *clock.LatestTimeOf(actual(), received_at) < received_at) {
       return false;
     }
   }
--- a/src/jujubehead/core/rendezvous.cpp
+++ b/src/jujubehead/core/rendezvous.cpp
@@ -93,25 +93,25 @@
 } // namespace detail
 
 std::vector<InstanceId>
-HomesOf(const ContextKey& aKey,
-        std::span<const InstanceId> aInstances,
-        std::size_t aCount)
+RankByRendezvous(const ContextKey& aKey,
+                 std::span<const InstanceId> aInstances,
+                 std::size_t aCount)
 {
   return TopByWeight(FirstWord(aKey), aInstances, aCount);
 }
 
 std::vector<InstanceId>
-HomesOf(std::string_view aKey,
-        std::span<const InstanceId> aInstances,
-        std::size_t aCount)
+RankByRendezvous(std::string_view aKey,
+                 std::span<const InstanceId> aInstances,
+                 std::size_t aCount)
 {
   return TopByWeight(detail::HashName(aKey), aInstances, aCount);
 }
 
 std::optional<InstanceId>
-HomeOf(const ContextKey& aKey, std::span<const InstanceId> aInstances)
+RendezvousOwner(const ContextKey& aKey, std::span<const InstanceId> aInstances)
 {
-  auto ranked = HomesOf(aKey, aInstances, 1);
+  auto ranked = RankByRendezvous(aKey, aInstances, 1);
   if (ranked.empty()) {
     return std::nullopt;
   }
--- a/src/jujubehead/core/rendezvous_test.cpp
+++ b/src/jujubehead/core/rendezvous_test.cpp
@@ -39,7 +39,7 @@
 
 TEST(Rendezvous, NoMembersGiveNoResult)
 {
-  CHECK(!HomeOf(ContextKey(), {}));
+  CHECK(!RendezvousOwner(ContextKey(), {}));
 }
 
 TEST(Rendezvous, SpreadsKeysEvenly)
@@ -47,7 +47,7 @@
   const auto members = Members(kMembers);
   std::map<InstanceId, std::size_t> counts;
   for (const ContextKey& key : Keys()) {
-    ++counts[*HomeOf(key, members)];
+    ++counts[*RendezvousOwner(key, members)];
   }
   for (const auto& [member, count] : counts) {
     CHECK(count > kKeys / kMembers * 85 / 100);
@@ -62,9 +62,9 @@
   const InstanceId removed = members[4];
   members.erase(members.begin() + 4);
   for (const ContextKey& key : Keys()) {
-    const auto ranked = HomesOf(key, before, 2);
+    const auto ranked = RankByRendezvous(key, before, 2);
     const auto expected = ranked[0] == removed ? ranked[1] : ranked[0];
-    CHECK(*HomeOf(key, members) == expected);
+    CHECK(*RendezvousOwner(key, members) == expected);
   }
 }
 
@@ -72,7 +72,7 @@
 {
   auto members = Members(kMembers);
   const auto key = Keys().front();
-  const auto first = HomeOf(key, members);
+  const auto first = RendezvousOwner(key, members);
   std::reverse(members.begin(), members.end());
-  CHECK(HomeOf(key, members) == first);
+  CHECK(RendezvousOwner(key, members) == first);
 }
--- a/src/jujubehead/core/keep_policy.cpp
+++ b/src/jujubehead/core/retention_policy.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/keep_policy.hpp"
+#include "jujubehead/core/retention_policy.hpp"
 
 #include <algorithm> // for clamp, sort
 #include <numeric>   // for iota
@@ -13,7 +13,7 @@
 } // namespace
 
 double
-ReturnValue(double aSeconds, double aTokens, double aRecomputePrice)
+ReuseValue(double aSeconds, double aTokens, double aRecomputePrice)
 {
   const double tokens = aTokens * aRecomputePrice;
   const double weight = aSeconds > 0 ? tokens / aSeconds : 0;
@@ -21,23 +21,23 @@
 }
 
 double
-KeepPrice(const ReturnModel& aModel, const KeptValue& aValue)
+RetentionPrice(const ReuseModel& aModel, const RetentionInput& aValue)
 {
   if (aValue.bytes == 0) {
     return 0;
   }
-  return aModel.ReturnRate(aValue.account, aValue.idle) * aValue.saved /
+  return aModel.ReuseRate(aValue.account, aValue.idle) * aValue.reuse_value /
          static_cast<double>(aValue.bytes);
 }
 
 double
-ExportGain(const ReturnModel& aModel, const ExportView& aView)
+ExportGain(const ReuseModel& aModel, const ExportInput& aView)
 {
   if (aView.bytes_per_second <= 0 || aView.value.bytes == 0) {
     return 0;
   }
-  const double probability = aModel.ChanceOfReturn(
-    aView.value.account, aView.value.idle, aView.kept_for);
+  const double probability = aModel.ReuseProbability(
+    aView.value.account, aView.value.idle, aView.expected_retention);
   const double utilization = std::clamp(aView.link_use, 0.0, kMaxUtilization);
   const double transfer_seconds =
     static_cast<double>(aView.bytes_to_move) / aView.bytes_per_second;
@@ -52,7 +52,7 @@
 }
 
 std::optional<std::vector<std::size_t>>
-ChooseVictims(std::span<const VictimView> aCopies,
+ChooseVictims(std::span<const EvictionCandidate> aCopies,
               std::uint64_t aBytesNeeded,
               double aNewPrice)
 {
--- a/src/jujubehead/core/return_model.cpp
+++ b/src/jujubehead/core/reuse_model.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/return_model.hpp"
+#include "jujubehead/core/reuse_model.hpp"
 
 #include <algorithm>     // for clamp, max, min
 #include <array>         // for array
@@ -181,10 +181,10 @@
 
 } // namespace
 
-class ReturnModel::Estimator
+class ReuseModel::Estimator
 {
 public:
-  explicit Estimator(const ReturnModelSettings& aSettings)
+  explicit Estimator(const ReuseModelSettings& aSettings)
     : m_settings(aSettings)
   {
     Refresh();
@@ -311,48 +311,48 @@
     return found == m_accounts.end() ? m_pool_rates : found->second.rates;
   }
 
-  ReturnModelSettings m_settings;
+  ReuseModelSettings m_settings;
   Counts m_pool;
   Rates m_pool_rates{};
   Rates m_pool_best{};
   std::unordered_map<AccountId, Account> m_accounts;
 };
 
-ReturnModel::ReturnModel(const ReturnModelSettings& aSettings)
+ReuseModel::ReuseModel(const ReuseModelSettings& aSettings)
   : m_estimator(std::make_unique<Estimator>(aSettings))
 {
 }
 
-ReturnModel::~ReturnModel() = default;
-ReturnModel::ReturnModel(ReturnModel&&) noexcept = default;
-ReturnModel&
-ReturnModel::operator=(ReturnModel&&) noexcept = default;
+ReuseModel::~ReuseModel() = default;
+ReuseModel::ReuseModel(ReuseModel&&) noexcept = default;
+ReuseModel&
+ReuseModel::operator=(ReuseModel&&) noexcept = default;
 
 void
-ReturnModel::Observe(const AccountId& aAccount,
-                     Duration aFrom,
-                     Duration aTo,
-                     bool aReturned)
+ReuseModel::Observe(const AccountId& aAccount,
+                    Duration aFrom,
+                    Duration aTo,
+                    bool aReturned)
 {
   m_estimator->Observe(aAccount, ToSeconds(aFrom), ToSeconds(aTo), aReturned);
 }
 
 void
-ReturnModel::Decay(double aFactor)
+ReuseModel::Decay(double aFactor)
 {
   m_estimator->Decay(aFactor);
 }
 
 double
-ReturnModel::ChanceOfReturn(const AccountId& aAccount,
-                            Duration aIdle,
-                            Duration aWithin) const
+ReuseModel::ReuseProbability(const AccountId& aAccount,
+                             Duration aIdle,
+                             Duration aWithin) const
 {
   return m_estimator->Chance(aAccount, ToSeconds(aIdle), ToSeconds(aWithin));
 }
 
 double
-ReturnModel::ReturnRate(const AccountId& aAccount, Duration aIdle) const
+ReuseModel::ReuseRate(const AccountId& aAccount, Duration aIdle) const
 {
   return m_estimator->Rate(aAccount, ToSeconds(aIdle));
 }
--- a/src/jujubehead/core/routing/admission.cpp
+++ b/src/jujubehead/core/routing/admission.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 void
-WaitPredictor::OnFirstAnswer(double aLoad, Duration aTook)
+WaitPredictor::OnFirstResponse(double aLoad, Duration aTook)
 {
   const double sample = static_cast<double>(aTook.count()) / (aLoad + 1);
   m_per_request =
--- a/src/jujubehead/core/routing/admission_test.cpp
+++ b/src/jujubehead/core/routing/admission_test.cpp
@@ -49,10 +49,10 @@
 {
   WaitPredictor predictor;
   CHECK_FALSE(predictor.At(3).has_value());
-  predictor.OnFirstAnswer(9, milliseconds(1000));
+  predictor.OnFirstResponse(9, milliseconds(1000));
   CHECK(*predictor.At(19) == milliseconds(2000));
   for (int i = 0; i < 100; ++i) {
-    predictor.OnFirstAnswer(9, milliseconds(200));
+    predictor.OnFirstResponse(9, milliseconds(200));
   }
   CHECK(*predictor.At(9) < milliseconds(210));
 }
@@ -80,8 +80,8 @@
         continue;
       }
       const double took = (queue + 1) / kRate;
-      predictor.OnFirstAnswer(queue,
-                              milliseconds(static_cast<int>(1000 * took)));
+      predictor.OnFirstResponse(queue,
+                                milliseconds(static_cast<int>(1000 * took)));
       good += took <= kObjective ? 1 : 0;
       queue += 1;
     }
--- a/src/jujubehead/core/routing/attempt_plan.cpp
+++ b/src/jujubehead/core/routing/attempt_plan.cpp
@@ -4,38 +4,39 @@
 namespace {
 
 bool
-MayBeSentAgain(AttemptEnd aEnd, const AttemptHistory& aHistory)
+MayBeSentAgain(AttemptOutcome aEnd, const AttemptHistory& aHistory)
 {
-  if (!aHistory.has_time || aEnd == AttemptEnd::kTimedOut) {
+  if (!aHistory.has_time || aEnd == AttemptOutcome::kTimedOut) {
     return false;
   }
   if (aHistory.sends >= aHistory.max_targets + kExtraSends) {
     return false;
   }
   return aHistory.may_have_run == 0 ||
-         (aHistory.may_repeat && aHistory.may_have_run < aHistory.max_targets);
+         (aHistory.is_repeatable &&
+          aHistory.may_have_run < aHistory.max_targets);
 }
 
 } // namespace
 
 NextStep
-AfterAttempt(AttemptEnd aEnd, const AttemptHistory& aHistory)
+StepAfterAttempt(AttemptOutcome aEnd, const AttemptHistory& aHistory)
 {
-  return MayBeSentAgain(aEnd, aHistory) ? NextStep::kSendAgain
-                                        : InsteadOfSending(aEnd, aHistory);
+  return MayBeSentAgain(aEnd, aHistory) ? NextStep::kRetry
+                                        : StepWithoutRetry(aEnd, aHistory);
 }
 
 NextStep
-InsteadOfSending(AttemptEnd aEnd, const AttemptHistory& aHistory)
+StepWithoutRetry(AttemptOutcome aEnd, const AttemptHistory& aHistory)
 {
-  if (aEnd == AttemptEnd::kFailed) {
-    return NextStep::kPassOn;
+  if (aEnd == AttemptOutcome::kFailed) {
+    return NextStep::kForwardError;
   }
   if (aHistory.may_have_run == 0) {
     return NextStep::kRefuse;
   }
-  return aEnd == AttemptEnd::kTimedOut ? NextStep::kFailTimedOut
-                                       : NextStep::kFail;
+  return aEnd == AttemptOutcome::kTimedOut ? NextStep::kFailTimedOut
+                                           : NextStep::kFail;
 }
 
 } // namespace jujubehead::core
--- a/src/jujubehead/core/routing/attempt_plan_test.cpp
+++ b/src/jujubehead/core/routing/attempt_plan_test.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 bool
-Ran(AttemptEnd aEnd)
+Ran(AttemptOutcome aEnd)
 {
-  return aEnd != AttemptEnd::kNotSent && aEnd != AttemptEnd::kRefused;
+  return aEnd != AttemptOutcome::kNotSent && aEnd != AttemptOutcome::kRefused;
 }
 
-rc::Gen<AttemptEnd>
+rc::Gen<AttemptOutcome>
 AnyEnd()
 {
-  return rc::gen::element(AttemptEnd::kNotSent,
-                          AttemptEnd::kRefused,
-                          AttemptEnd::kBroken,
-                          AttemptEnd::kFailed,
-                          AttemptEnd::kTimedOut);
+  return rc::gen::element(AttemptOutcome::kNotSent,
+                          AttemptOutcome::kRefused,
+                          AttemptOutcome::kBroken,
+                          AttemptOutcome::kFailed,
+                          AttemptOutcome::kTimedOut);
 }
 
 } // namespace
@@ -33,19 +33,20 @@
 {
   CHECK(rc::check("any ends", [] {
     AttemptHistory history;
-    history.may_repeat = *rc::gen::arbitrary<bool>();
+    history.is_repeatable = *rc::gen::arbitrary<bool>();
     history.max_targets = *rc::gen::inRange(1U, 4U);
-    const auto ends = *rc::gen::container<std::vector<AttemptEnd>>(AnyEnd());
-    for (const AttemptEnd end : ends) {
-      history.sends += end != AttemptEnd::kNotSent ? 1 : 0;
+    const auto ends =
+      *rc::gen::container<std::vector<AttemptOutcome>>(AnyEnd());
+    for (const AttemptOutcome end : ends) {
+      history.sends += end != AttemptOutcome::kNotSent ? 1 : 0;
       history.may_have_run += Ran(end) ? 1 : 0;
       RC_ASSERT(history.may_have_run <=
-                (history.may_repeat ? history.max_targets : 1));
-      const NextStep step = AfterAttempt(end, history);
+                (history.is_repeatable ? history.max_targets : 1));
+      const NextStep step = StepAfterAttempt(end, history);
       if (step == NextStep::kRefuse) {
         RC_ASSERT(history.may_have_run == 0U);
       }
-      if (step != NextStep::kSendAgain) {
+      if (step != NextStep::kRetry) {
         return;
       }
       RC_ASSERT(history.sends < history.max_targets + kExtraSends);
@@ -59,8 +60,8 @@
   history.sends = 1;
   history.may_have_run = 1;
   history.max_targets = 3;
-  CHECK(AfterAttempt(AttemptEnd::kBroken, history) == NextStep::kFail);
-  CHECK(AfterAttempt(AttemptEnd::kTimedOut, history) ==
+  CHECK(StepAfterAttempt(AttemptOutcome::kBroken, history) == NextStep::kFail);
+  CHECK(StepAfterAttempt(AttemptOutcome::kTimedOut, history) ==
         NextStep::kFailTimedOut);
 }
 
@@ -68,21 +69,25 @@
 {
   AttemptHistory history;
   history.sends = 1;
-  CHECK(AfterAttempt(AttemptEnd::kRefused, history) == NextStep::kSendAgain);
-  CHECK(InsteadOfSending(AttemptEnd::kRefused, history) == NextStep::kRefuse);
+  CHECK(StepAfterAttempt(AttemptOutcome::kRefused, history) ==
+        NextStep::kRetry);
+  CHECK(StepWithoutRetry(AttemptOutcome::kRefused, history) ==
+        NextStep::kRefuse);
 }
 
 TEST(AttemptPlan, NothingIsRetriedAfterTheDeadline)
 {
   AttemptHistory history;
-  history.may_repeat = true;
+  history.is_repeatable = true;
   history.has_time = false;
-  CHECK(AfterAttempt(AttemptEnd::kNotSent, history) == NextStep::kRefuse);
+  CHECK(StepAfterAttempt(AttemptOutcome::kNotSent, history) ==
+        NextStep::kRefuse);
 }
 
 TEST(AttemptPlan, ATargetsErrorIsForwarded)
 {
   AttemptHistory history;
   history.may_have_run = 1;
-  CHECK(AfterAttempt(AttemptEnd::kFailed, history) == NextStep::kPassOn);
+  CHECK(StepAfterAttempt(AttemptOutcome::kFailed, history) ==
+        NextStep::kForwardError);
 }
--- a/src/jujubehead/core/routing/load_estimate.cpp
+++ b/src/jujubehead/core/routing/load_estimate.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 void
-UsualLoad::OnReport(double aOthers, double aWaiting, Instant aNow)
+ServiceLoadAverage::OnReport(double aOthers, double aWaiting, Instant aNow)
 {
   // The more the average has decayed, the more the new report weighs.
   const double weight =
@@ -44,7 +44,7 @@
 }
 
 void
-UsualLoad::OnEnded(Duration aLasted)
+ServiceLoadAverage::OnEnded(Duration aLasted)
 {
   const double seconds = Seconds(aLasted).count();
   m_lasted += kDurationWeight * (seconds - m_lasted);
@@ -52,7 +52,7 @@
 }
 
 Duration
-UsualLoad::HalfLife() const
+ServiceLoadAverage::HalfLife() const
 {
   if (m_lasted <= 0) {
     return kInitialHalfLife;
@@ -66,7 +66,7 @@
 }
 
 double
-UsualLoad::Weight(Instant aNow) const
+ServiceLoadAverage::Weight(Instant aNow) const
 {
   if (!m_reported_at || aNow - *m_reported_at <= kDecayDelay) {
     return 1;
@@ -95,7 +95,7 @@
 }
 
 void
-LoadEstimate::OnTold(const ReportedLoad& aLoad, Instant aReceivedAt)
+LoadEstimate::OnRelayedReport(const ReportedLoad& aLoad, Instant aReceivedAt)
 {
   if (!m_reported_at || aReceivedAt > *m_reported_at) {
     Record(aLoad, aReceivedAt);
--- a/src/jujubehead/core/routing/load_estimate_test.cpp
+++ b/src/jujubehead/core/routing/load_estimate_test.cpp
@@ -14,9 +14,10 @@
 // during a burst, idle targets with the weights loaded got no requests for ten
 // seconds (12 waiting by the average).
 
-TEST_GROUP(UsualLoad)
+TEST_GROUP(ServiceLoadAverage)
 {
-  std::shared_ptr<UsualLoad> average = std::make_shared<UsualLoad>();
+  std::shared_ptr<ServiceLoadAverage> average =
+    std::make_shared<ServiceLoadAverage>();
   LoadEstimate reported{ average };
   LoadEstimate other{ average };
   Instant now{ seconds(100) };
@@ -37,7 +38,7 @@
   }
 };
 
-TEST(UsualLoad, TheAverageIsUsedForATargetWithoutReports)
+TEST(ServiceLoadAverage, TheAverageIsUsedForATargetWithoutReports)
 {
   ReportFull();
   DOUBLES_EQUAL(20, other.Requests(now), 0.5);
@@ -45,13 +46,13 @@
   CHECK_FALSE(Admits(now));
 }
 
-TEST(UsualLoad, AShortTimeWithoutReportsChangesNothing)
+TEST(ServiceLoadAverage, AShortTimeWithoutReportsChangesNothing)
 {
   ReportFull();
   DOUBLES_EQUAL(12, other.Waiting(now + milliseconds(900)), 0.5);
 }
 
-TEST(UsualLoad, RefusalsEndAfterSomeSecondsWithoutReports)
+TEST(ServiceLoadAverage, RefusalsEndAfterSomeSecondsWithoutReports)
 {
   ReportFull();
   CHECK_FALSE(Admits(now + seconds(1)));
--- a/src/jujubehead/core/routing/load_news.cpp
+++ b/src/jujubehead/core/routing/load_reports.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/load_news.hpp"
+#include "jujubehead/core/routing/load_reports.hpp"
 
 #include <algorithm> // for max, sort
 #include <utility>   // for move
@@ -26,35 +26,35 @@
   return static_cast<TargetKey>(PlacementHash(aTarget.View()));
 }
 
-HeardLoad
-GoneTarget(const TargetId& aTarget, Instant aNow)
+TargetLoadReport
+GoneTargetReport(const TargetId& aTarget, Instant aNow)
 {
   return { KeyOf(aTarget), kLoadOfGone, aNow, true };
 }
 
 void
-LoadNews::Put(const HeardLoad& aLoad)
+LoadReports::Put(const TargetLoadReport& aLoad)
 {
   const auto [known, is_new] = m_loads.try_emplace(aLoad.target, aLoad);
-  if (!is_new && aLoad.heard > known->second.heard) {
+  if (!is_new && aLoad.reported_at > known->second.reported_at) {
     known->second = aLoad;
   }
 }
 
-std::vector<HeardLoad>
-LoadNews::Busiest(Instant aNow)
+std::vector<TargetLoadReport>
+LoadReports::Busiest(Instant aNow)
 {
   std::erase_if(m_loads, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heard > m_options.max_age;
+    return aNow - aEntry.second.reported_at > m_options.max_age;
   });
-  std::vector<HeardLoad> busiest;
+  std::vector<TargetLoadReport> busiest;
   busiest.reserve(m_loads.size());
   for (const auto& [target, load] : m_loads) {
     busiest.push_back(load);
   }
   std::sort(busiest.begin(),
             busiest.end(),
-            [](const HeardLoad& aOne, const HeardLoad& aOther) {
+            [](const TargetLoadReport& aOne, const TargetLoadReport& aOther) {
               return RequestsPerSlot(aOne.load) > RequestsPerSlot(aOther.load);
             });
   if (busiest.size() > m_options.max_reports) {
@@ -63,10 +63,10 @@
   return busiest;
 }
 
-std::vector<HeardLoad>
-LoadNews::TakeBusiest(Instant aNow)
+std::vector<TargetLoadReport>
+LoadReports::TakeBusiest(Instant aNow)
 {
-  std::vector<HeardLoad> busiest = Busiest(aNow);
+  std::vector<TargetLoadReport> busiest = Busiest(aNow);
   m_loads.clear();
   return busiest;
 }
--- a/src/jujubehead/core/routing/load_news_test.cpp
+++ b/src/jujubehead/core/routing/load_reports_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/load_news.hpp"
+#include "jujubehead/core/routing/load_reports.hpp"
 
 #include <memory> // for make_shared
 #include <random> // for mt19937
@@ -16,7 +16,7 @@
 
 const Instant kNow = Instant(std::chrono::hours(1));
 
-HeardLoad
+TargetLoadReport
 ReportOf(const std::string& aTarget, std::uint32_t aWaiting, Instant aWhen)
 {
   return { KeyOf(TargetId(aTarget)), { 12, aWaiting, 12 }, aWhen };
@@ -37,7 +37,7 @@
   constexpr std::size_t kRequestsInStep = 62;
   constexpr std::size_t kPollSteps = 5;
   std::mt19937 random(3);
-  const auto average = std::make_shared<UsualLoad>();
+  const auto average = std::make_shared<ServiceLoadAverage>();
   std::vector<std::vector<LoadEstimate>> estimates(
     kInstances, std::vector<LoadEstimate>(kTargets, LoadEstimate(average)));
   std::vector<std::uint64_t> names;
@@ -47,7 +47,7 @@
   std::vector<std::uint32_t> load(kTargets, 0);
   std::vector<std::vector<std::pair<std::size_t, std::size_t>>> ends(
     kSteps + kLastsSteps + 1);
-  LoadNews hub;
+  LoadReports hub;
   double over = 0;
   for (std::size_t step = 0; step < kSteps; ++step) {
     const Instant now = kNow + milliseconds(kStepMs * step);
@@ -61,10 +61,10 @@
       hub.Put({ static_cast<TargetKey>(target), report, now });
     }
     if (aIsExchanged && step % kPollSteps == 0) {
-      for (const HeardLoad& one : hub.Busiest(now)) {
+      for (const TargetLoadReport& one : hub.Busiest(now)) {
         for (auto& estimate : estimates) {
-          estimate[static_cast<std::size_t>(one.target)].OnTold(one.load,
-                                                                one.heard);
+          estimate[static_cast<std::size_t>(one.target)].OnRelayedReport(
+            one.load, one.reported_at);
         }
       }
     }
@@ -90,11 +90,11 @@
 
 } // namespace
 
-TEST_GROUP(LoadNews){};
+TEST_GROUP(LoadReports){};
 
-TEST(LoadNews, KeepsTheNewestReport)
+TEST(LoadReports, KeepsTheNewestReport)
 {
-  LoadNews news;
+  LoadReports news;
   news.Put(ReportOf("a", 3, kNow));
   news.Put(ReportOf("a", 9, kNow - milliseconds(10)));
   LONGS_EQUAL(3, news.Busiest(kNow).at(0).load.waiting);
@@ -102,11 +102,11 @@
   LONGS_EQUAL(1, news.Busiest(kNow).at(0).load.waiting);
 }
 
-TEST(LoadNews, ReturnsTheBusiestTargetsAndDropsOldReports)
+TEST(LoadReports, ReturnsTheBusiestTargetsAndDropsOldReports)
 {
-  LoadNewsOptions options;
+  LoadReportsOptions options;
   options.max_reports = 2;
-  LoadNews news(options);
+  LoadReports news(options);
   news.Put(ReportOf("a", 1, kNow));
   news.Put(ReportOf("b", 7, kNow));
   news.Put(ReportOf("c", 4, kNow));
@@ -119,7 +119,7 @@
   LONGS_EQUAL(0, news.Busiest(kNow).size());
 }
 
-TEST(LoadNews, ExchangedReportsSpreadLoadMoreEvenly)
+TEST(LoadReports, ExchangedReportsSpreadLoadMoreEvenly)
 {
   const double separate = MeanOverload(false);
   const double exchanged = MeanOverload(true);
@@ -128,11 +128,11 @@
   CHECK(exchanged < 0.85 * separate);
 }
 
-TEST(LoadNews, ATargetThatIsGoneRanksAboveAllLoads)
+TEST(LoadReports, ATargetThatIsGoneRanksAboveAllLoads)
 {
-  LoadNews news;
+  LoadReports news;
   news.Put(ReportOf("a", 40, kNow));
-  news.Put(GoneTarget(TargetId("b"), kNow));
+  news.Put(GoneTargetReport(TargetId("b"), kNow));
   const auto busiest = news.Busiest(kNow);
   CHECK(busiest.at(0).is_gone && busiest.at(0).target == KeyOf(TargetId("b")));
   // It has since responded to another instance.
--- a/src/jujubehead/core/routing/placement.cpp
+++ b/src/jujubehead/core/routing/placement.cpp
@@ -73,20 +73,20 @@
       continue;
     }
     const double score = Score(aPrompt, candidate);
-    const bool is_same = best && candidate.is_at_store == best_is_at_store;
-    if (!best || (is_same ? score > best_score : candidate.is_at_store)) {
-      best_is_at_store = candidate.is_at_store;
+    const bool is_same = best && candidate.is_near_store == best_is_at_store;
+    if (!best || (is_same ? score > best_score : candidate.is_near_store)) {
+      best_is_at_store = candidate.is_near_store;
       best = i;
       best_score = score;
     }
   }
-  return best ? best : PlaceCall(aPrompt, aCandidates, aOptions);
+  return best ? best : PlaceByLoad(aPrompt, aCandidates, aOptions);
 }
 
 std::optional<std::size_t>
-PlaceCall(std::uint64_t aSalt,
-          std::span<const PlacementCandidate> aCandidates,
-          const PlacementOptions& aOptions)
+PlaceByLoad(std::uint64_t aSalt,
+            std::span<const PlacementCandidate> aCandidates,
+            const PlacementOptions& aOptions)
 {
   std::optional<std::size_t> best;
   double best_load = 0;
@@ -107,8 +107,8 @@
 }
 
 std::optional<std::size_t>
-WeightedHome(std::uint64_t aKey,
-             std::span<const PlacementCandidate> aCandidates)
+WeightedOwner(std::uint64_t aKey,
+              std::span<const PlacementCandidate> aCandidates)
 {
   std::optional<std::size_t> best;
   double best_score = 0;
--- a/src/jujubehead/core/routing/placement_test.cpp
+++ b/src/jujubehead/core/routing/placement_test.cpp
@@ -55,15 +55,15 @@
 TEST(Placement, TargetsNearTheStoreComeFirstWithinTheLoadBound)
 {
   auto candidates = Candidates(10);
-  candidates[3].is_at_store = true;
-  candidates[7].is_at_store = true;
+  candidates[3].is_near_store = true;
+  candidates[7].is_near_store = true;
   const auto home = *PlacePrompt(Prompt(1), candidates);
   CHECK(home == 3 || home == 7);
   candidates[home].load = 30;
   const auto next = *PlacePrompt(Prompt(1), candidates);
   LONGS_EQUAL(10 - home, next);
   candidates[next].load = 30;
-  CHECK_FALSE(candidates[*PlacePrompt(Prompt(1), candidates)].is_at_store);
+  CHECK_FALSE(candidates[*PlacePrompt(Prompt(1), candidates)].is_near_store);
 }
 
 TEST(Placement, APromptOfAnOverloadedTargetGoesToTheNextByScore)
@@ -97,16 +97,16 @@
 {
   auto candidates = Candidates(3);
   candidates[1].is_near = true;
-  LONGS_EQUAL(1, *PlaceCall(7, candidates));
+  LONGS_EQUAL(1, *PlaceByLoad(7, candidates));
   candidates[1].load = 2;
-  CHECK(*PlaceCall(7, candidates) != 1);
+  CHECK(*PlaceByLoad(7, candidates) != 1);
 }
 
 TEST(Placement, NothingIsPlacedWithoutCandidates)
 {
   CHECK_FALSE(PlacePrompt(1, {}).has_value());
-  CHECK_FALSE(PlaceCall(1, {}).has_value());
-  CHECK_FALSE(WeightedHome(1, {}).has_value());
+  CHECK_FALSE(PlaceByLoad(1, {}).has_value());
+  CHECK_FALSE(WeightedOwner(1, {}).has_value());
 }
 
 TEST(Placement, KeysAreAssignedInProportionToCapacity)
@@ -115,7 +115,7 @@
   stores[0].capacity = 9;
   int at_large = 0;
   for (int i = 0; i < 1000; ++i) {
-    at_large += *WeightedHome(Prompt(i), stores) == 0 ? 1 : 0;
+    at_large += *WeightedOwner(Prompt(i), stores) == 0 ? 1 : 0;
   }
   CHECK(at_large > 850 && at_large < 950);
 }
@@ -140,13 +140,13 @@
 {
   const Instant now = Instant(std::chrono::hours(1));
   const auto after_a_second = [&](Duration aLasted) {
-    const auto average = std::make_shared<UsualLoad>();
+    const auto average = std::make_shared<ServiceLoadAverage>();
     LoadEstimate target(average);
     for (int i = 0; i < 500; ++i) {
       target.OnBegin();
       target.OnEnd(aLasted);
     }
-    target.OnTold({ 10, 0, 16 }, now);
+    target.OnRelayedReport({ 10, 0, 16 }, now);
     return target.Requests(now + std::chrono::seconds(1));
   };
   CHECK(after_a_second(std::chrono::seconds(6)) > 7);
@@ -156,7 +156,7 @@
 TEST(LoadEstimate, ATargetWithoutReportsGetsTheAverageOfItsService)
 {
   const Instant now = Instant(std::chrono::hours(1));
-  const auto average = std::make_shared<UsualLoad>();
+  const auto average = std::make_shared<ServiceLoadAverage>();
   LoadEstimate reported(average);
   LoadEstimate unreported(average);
   DOUBLES_EQUAL(0, unreported.Requests(now), 0.01);
--- a/src/jujubehead/core/routing/patience.cpp
+++ b/src/jujubehead/core/routing/stall_timeout.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/patience.hpp"
+#include "jujubehead/core/routing/stall_timeout.hpp"
 
 #include <algorithm> // for max
 
@@ -26,11 +26,11 @@
 } // namespace
 
 Duration
-StreamPatience(const SilenceInput& aInput)
+StreamStallTimeout(const StallTimeoutInput& aInput)
 {
   const Duration with_others =
     std::max(kMinTimeout, Multiply(kObjectivesWithOthers, aInput.objective));
-  if (aInput.others_stream) {
+  if (aInput.has_other_streams) {
     return with_others;
   }
   const Duration predicted = aInput.predicted.value_or(Duration(0));
--- a/src/jujubehead/core/routing/target_book.cpp
+++ b/src/jujubehead/core/routing/target_directory.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/target_book.hpp"
+#include "jujubehead/core/routing/target_directory.hpp"
 
 #include <algorithm> // for find_if, count_if
 #include <set>       // for set
@@ -19,7 +19,7 @@
                     aTarget.slots,
                     aTarget.leaving,
                     aTarget.models,
-                    aTarget.born_ms);
+                    aTarget.started_ms);
   };
   return tie(aOne) == tie(aOther);
 }
@@ -27,8 +27,8 @@
 bool
 IsOlder(const RegisteredTarget& aReport, const RegisteredTarget& aKnown)
 {
-  return std::tie(aReport.born_ms, aReport.heartbeat) <
-         std::tie(aKnown.born_ms, aKnown.heartbeat);
+  return std::tie(aReport.started_ms, aReport.heartbeat) <
+         std::tie(aKnown.started_ms, aKnown.heartbeat);
 }
 
 } // namespace
@@ -44,13 +44,13 @@
                                : std::optional<std::uint64_t>(found->version);
 }
 
-TargetBook::TargetBook(TargetBookOptions aOptions)
+TargetDirectory::TargetDirectory(TargetDirectoryOptions aOptions)
   : m_options(aOptions)
 {
 }
 
 void
-TargetBook::OnAnswer(Instant aNow)
+TargetDirectory::OnAnswer(Instant aNow)
 {
   if (m_is_unavailable) {
     m_outage_end = aNow;
@@ -59,25 +59,25 @@
 }
 
 bool
-TargetBook::IsReregistering(Instant aNow) const
+TargetDirectory::IsReregistering(Instant aNow) const
 {
   return m_outage_end && aNow - *m_outage_end < m_options.reregistration_time;
 }
 
 bool
-TargetBook::IsLateReport(const RegisteredTarget& aTarget) const
+TargetDirectory::IsLateReport(const RegisteredTarget& aTarget) const
 {
   const auto found = m_removed.find(aTarget.id);
   if (found == m_removed.end()) {
     return false;
   }
   const RegisteredTarget& last = found->second.target;
-  const bool same_start = last.born_ms == aTarget.born_ms;
+  const bool same_start = last.started_ms == aTarget.started_ms;
   return !IsOlder(last, aTarget) || (same_start && last.leaving);
 }
 
 bool
-TargetBook::Put(RegisteredTarget aTarget)
+TargetDirectory::Put(RegisteredTarget aTarget)
 {
   if (IsLateReport(aTarget)) {
     return false;
@@ -94,14 +94,14 @@
   }
   known.kept_until.reset();
   aTarget.leaving |=
-    known.target.leaving && known.target.born_ms == aTarget.born_ms;
+    known.target.leaving && known.target.started_ms == aTarget.started_ms;
   const bool changed = !IsSameForRouting(aTarget, known.target);
   known.target = std::move(aTarget);
   return changed;
 }
 
 bool
-TargetBook::Remove(const TargetId& aId, Instant aNow)
+TargetDirectory::Remove(const TargetId& aId, Instant aNow)
 {
   const auto found = m_entries.find(aId);
   if (found == m_entries.end()) {
@@ -119,7 +119,8 @@
 }
 
 bool
-TargetBook::Apply(const std::vector<RegistrationChange>& aChanges, Instant aNow)
+TargetDirectory::Apply(const std::vector<RegistrationChange>& aChanges,
+                       Instant aNow)
 {
   bool changed = false;
   for (const RegistrationChange& change : aChanges) {
@@ -129,7 +130,8 @@
 }
 
 bool
-TargetBook::Replace(const std::vector<RegisteredTarget>& aAll, Instant aNow)
+TargetDirectory::Replace(const std::vector<RegisteredTarget>& aAll,
+                         Instant aNow)
 {
   bool changed = false;
   std::set<TargetId> present;
@@ -150,7 +152,7 @@
 }
 
 bool
-TargetBook::Tick(Instant aNow)
+TargetDirectory::Tick(Instant aNow)
 {
   std::erase_if(m_removed, [&](const auto& aEntry) {
     return aNow - aEntry.second.since > m_options.removed_retention;
@@ -162,7 +164,7 @@
 }
 
 std::vector<RegisteredTarget>
-TargetBook::Targets() const
+TargetDirectory::Targets() const
 {
   std::vector<RegisteredTarget> targets;
   targets.reserve(m_entries.size());
@@ -173,7 +175,7 @@
 }
 
 std::size_t
-TargetBook::Lapsed() const
+TargetDirectory::ExpiredCount() const
 {
   return static_cast<std::size_t>(
     std::count_if(m_entries.begin(), m_entries.end(), [](const auto& aEntry) {
--- a/src/jujubehead/core/routing/target_book_test.cpp
+++ b/src/jujubehead/core/routing/target_directory_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/target_book.hpp"
+#include "jujubehead/core/routing/target_directory.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -15,7 +15,7 @@
   target.service = ServiceId("lists");
   target.address = "10.0.0.1:80";
   target.heartbeat = aHeartbeat;
-  target.born_ms = 1000;
+  target.started_ms = 1000;
   return target;
 }
 
@@ -33,9 +33,9 @@
 
 } // namespace
 
-TEST_GROUP(TargetBook)
+TEST_GROUP(TargetDirectory)
 {
-  TargetBook book{ {} };
+  TargetDirectory book{ {} };
   Instant now{ std::chrono::seconds(100) };
 
   void setup() override
@@ -45,13 +45,13 @@
   }
   void LoseRegistryFor(Duration aTime)
   {
-    book.OnSilence();
+    book.OnNoResponse();
     now += aTime;
     book.OnAnswer(now);
   }
 };
 
-TEST(TargetBook, ADeregisteredTargetIsRemovedAtOnce)
+TEST(TargetDirectory, ADeregisteredTargetIsRemovedAtOnce)
 {
   // Regardless of how long no change came before.
   now += std::chrono::seconds(5);
@@ -60,7 +60,7 @@
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ARegistrationLostInAnOutageIsKeptForTheReregistrationTime)
+TEST(TargetDirectory, ARegistrationLostInAnOutageIsKeptForTheReregistrationTime)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   CHECK_FALSE(book.Apply({ Gone("t1") }, now));
@@ -72,7 +72,7 @@
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ATargetThatRegisteredAgainStays)
+TEST(TargetDirectory, ATargetThatRegisteredAgainStays)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   book.Apply({ Gone("t1") }, now);
@@ -83,7 +83,7 @@
   LONGS_EQUAL(2, book.Targets().size());
 }
 
-TEST(TargetBook, ASnapshotAfterAnOutageKeepsMissingTargets)
+TEST(TargetDirectory, ASnapshotAfterAnOutageKeepsMissingTargets)
 {
   LoseRegistryFor(std::chrono::seconds(4));
   book.Replace({ TargetAt("t2", 4) }, now);
@@ -93,7 +93,7 @@
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ADrainingTargetIsNotKeptAfterAnOutage)
+TEST(TargetDirectory, ADrainingTargetIsNotKeptAfterAnOutage)
 {
   RegisteredTarget leaving = TargetAt("t1", 2);
   leaving.leaving = true;
@@ -102,7 +102,7 @@
   CHECK(book.Apply({ Gone("t1") }, now));
 }
 
-TEST(TargetBook, ADrainingTargetStaysDraining)
+TEST(TargetDirectory, ADrainingTargetStaysDraining)
 {
   RegisteredTarget leaving = TargetAt("t1", 2);
   leaving.leaving = true;
@@ -111,7 +111,7 @@
   CHECK(book.Targets().front().leaving);
 }
 
-TEST(TargetBook, AnOlderReportDoesNotReplaceANewerOne)
+TEST(TargetDirectory, AnOlderReportDoesNotReplaceANewerOne)
 {
   RegisteredTarget newer = TargetAt("t1", 9);
   newer.address = "10.0.0.9:80";
@@ -120,25 +120,25 @@
   STRCMP_EQUAL("10.0.0.9:80", book.Targets().front().address.c_str());
 }
 
-TEST(TargetBook, ALateReportDoesNotRestoreARemovedTarget)
+TEST(TargetDirectory, ALateReportDoesNotRestoreARemovedTarget)
 {
   book.Apply({ Gone("t1") }, now);
   CHECK_FALSE(book.Apply({ Put(TargetAt("t1", 1)) }, now));
   LONGS_EQUAL(1, book.Targets().size());
 }
 
-TEST(TargetBook, ATargetRestartedUnderTheSameIdIsAccepted)
+TEST(TargetDirectory, ATargetRestartedUnderTheSameIdIsAccepted)
 {
   RegisteredTarget leaving = TargetAt("t1", 7);
   leaving.leaving = true;
   book.Apply({ Put(leaving), Gone("t1") }, now);
   RegisteredTarget restarted = TargetAt("t1", 1);
-  restarted.born_ms = 2000;
+  restarted.started_ms = 2000;
   CHECK(book.Apply({ Put(restarted) }, now));
   CHECK_FALSE(book.Targets().front().leaving);
 }
 
-TEST(TargetBook, AHeartbeatAloneChangesNothing)
+TEST(TargetDirectory, AHeartbeatAloneChangesNothing)
 {
   CHECK_FALSE(book.Apply({ Put(TargetAt("t1", 2)) }, now));
 }
--- a/src/jujubehead/core/routing/repeat_budget.cpp
+++ b/src/jujubehead/core/routing/windowed_retry_budget.cpp
@@ -1,16 +1,16 @@
-#include "jujubehead/core/routing/repeat_budget.hpp"
+#include "jujubehead/core/routing/windowed_retry_budget.hpp"
 
 #include <algorithm> // for min
 
 namespace jujubehead::core {
 
-RepeatBudget::RepeatBudget(RepeatBudgetOptions aOptions)
+WindowedRetryBudget::WindowedRetryBudget(WindowedRetryBudgetOptions aOptions)
   : m_options(aOptions)
 {
 }
 
 void
-RepeatBudget::Advance(Instant aNow)
+WindowedRetryBudget::Advance(Instant aNow)
 {
   const Duration slot = m_options.window / kSlotsInWindow;
   const std::int64_t number = aNow.time_since_epoch() / slot;
@@ -22,14 +22,14 @@
 }
 
 void
-RepeatBudget::OnRequest(Instant aNow)
+WindowedRetryBudget::OnRequest(Instant aNow)
 {
   Advance(aNow);
   ++m_slots[static_cast<std::size_t>(m_number) % kSlots].requests;
 }
 
 bool
-RepeatBudget::TryRepeat(Instant aNow)
+WindowedRetryBudget::TryToRetry(Instant aNow)
 {
   Advance(aNow);
   const auto current = static_cast<std::size_t>(m_number) % kSlots;
--- a/src/jujubehead/core/routing/repeat_budget_test.cpp
+++ b/src/jujubehead/core/routing/windowed_retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/routing/repeat_budget.hpp"
+#include "jujubehead/core/routing/windowed_retry_budget.hpp"
 
 #include <deque>  // for deque
 #include <vector> // for vector
@@ -53,9 +53,9 @@
 
 } // namespace
 
-TEST_GROUP(RepeatBudget){};
+TEST_GROUP(WindowedRetryBudget){};
 
-TEST(RepeatBudget, AllInstancesTogetherKeepItInAnyWindow)
+TEST(WindowedRetryBudget, AllInstancesTogetherKeepItInAnyWindow)
 {
   CHECK(rc::check("the sum over instances that come and go", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(rc::gen::build(
@@ -64,20 +64,21 @@
                    rc::gen::inRange<std::size_t>(0, kMaxInstances)),
       rc::gen::set(&Step::wait_ms, rc::gen::inRange(0, 3000)),
       rc::gen::set(&Step::is_request, rc::gen::arbitrary<bool>())));
-    RepeatBudgetOptions options;
+    WindowedRetryBudgetOptions options;
     options.window = kWindow;
     options.per_request = kShare;
     options.fixed = kFixed / kMaxInstances;
-    std::vector<RepeatBudget> budgets(kMaxInstances, RepeatBudget(options));
+    std::vector<WindowedRetryBudget> budgets(kMaxInstances,
+                                             WindowedRetryBudget(options));
     Instant now{ std::chrono::seconds(1000) };
     std::deque<Event> events;
     for (const Step& step : steps) {
       now += milliseconds(step.wait_ms);
-      RepeatBudget& budget = budgets[step.instance];
+      WindowedRetryBudget& budget = budgets[step.instance];
       if (step.is_request) {
         budget.OnRequest(now);
         events.push_back({ now, false });
-      } else if (budget.TryRepeat(now)) {
+      } else if (budget.TryToRetry(now)) {
         events.push_back({ now, true });
       }
     }
@@ -85,15 +86,15 @@
   }));
 }
 
-TEST(RepeatBudget, IsExhaustedAndRefillsWithTime)
+TEST(WindowedRetryBudget, IsExhaustedAndRefillsWithTime)
 {
-  RepeatBudgetOptions options;
+  WindowedRetryBudgetOptions options;
   options.fixed = 1;
-  RepeatBudget budget(options);
+  WindowedRetryBudget budget(options);
   Instant now{ std::chrono::seconds(50) };
-  CHECK(budget.TryRepeat(now));
-  CHECK_FALSE(budget.TryRepeat(now));
+  CHECK(budget.TryToRetry(now));
+  CHECK_FALSE(budget.TryToRetry(now));
   LONGS_EQUAL(1, budget.Denied());
   now += std::chrono::seconds(12);
-  CHECK(budget.TryRepeat(now));
+  CHECK(budget.TryToRetry(now));
 }
--- a/src/jujubehead/core/service_estimate.hpp
+++ b/src/jujubehead/core/service_estimate.hpp
@@ -13,7 +13,7 @@
 class ServiceEstimate
 {
 public:
-  void Learn(std::uint32_t aTokens, Duration aUsed)
+  void AddSample(std::uint32_t aTokens, Duration aUsed)
   {
     const double weight =
       m_samples < kWindowSamples ? 1.0 / (m_samples + 1) : kSampleWeight;
--- a/src/jujubehead/core/sparse_depths.cpp
+++ b/src/jujubehead/core/sparse_depths.cpp
@@ -37,7 +37,7 @@
 }
 
 std::uint32_t
-BlocksOfSparse(std::uint32_t aKeys)
+SparseDepthAt(std::uint32_t aKeys)
 {
   std::uint32_t depth = aKeys == 0 ? 0 : 1;
   for (std::uint32_t key = 1; key < aKeys; ++key) {
--- a/src/jujubehead/core/sparse_depths_test.cpp
+++ b/src/jujubehead/core/sparse_depths_test.cpp
@@ -32,7 +32,7 @@
 {
   const auto depths = SparseDepths(300);
   for (std::uint32_t keys = 1; keys <= depths.size(); ++keys) {
-    LONGS_EQUAL(depths[keys - 1], BlocksOfSparse(keys));
+    LONGS_EQUAL(depths[keys - 1], SparseDepthAt(keys));
   }
-  LONGS_EQUAL(0, BlocksOfSparse(0));
+  LONGS_EQUAL(0, SparseDepthAt(0));
 }
--- a/src/jujubehead/core/table_follower.cpp
+++ b/src/jujubehead/core/table_follower.cpp
@@ -40,10 +40,10 @@
   m_pending_since = aNow;
   if (m_needs_snapshot) {
     m_pending = PendingStep::kSnapshot;
-    return FollowSnapshot{};
+    return FetchStoredSnapshot{};
   }
   m_pending = PendingStep::kEntries;
-  return FollowEntries{ m_view.Version() };
+  return FetchEntries{ m_view.Version() };
 }
 
 void
@@ -57,7 +57,7 @@
   if (!aEntries.empty()) {
     m_newest_reported = std::max(m_newest_reported, aEntries.back().version);
   }
-  const bool gap = m_view.Apply(aEntries) == Applied::kGap;
+  const bool gap = m_view.Apply(aEntries) == ApplyResult::kGap;
   m_needs_snapshot = gap;
   const bool at_head = aAtHead && !gap;
   if (at_head) {
@@ -187,7 +187,7 @@
   m_pending = PendingStep::kPeer;
   m_pending_since = aNow;
   m_pending_peer = aPeer;
-  return FollowPeer{ aPeer };
+  return FetchPeerSnapshot{ aPeer };
 }
 
 void
--- a/src/jujubehead/core/table_follower_test.cpp
+++ b/src/jujubehead/core/table_follower_test.cpp
@@ -61,7 +61,7 @@
 private:
   void Fail(const FollowStep& aStep, std::uint64_t aUpTo)
   {
-    if (const auto* ask = std::get_if<FollowPeer>(&aStep)) {
+    if (const auto* ask = std::get_if<FetchPeerSnapshot>(&aStep)) {
       m_follower.OnPeerFailed(m_now, ask->peer);
     } else if (!std::holds_alternative<FollowIdle>(aStep)) {
       m_follower.OnServiceFailed(m_now, "down");
@@ -76,17 +76,17 @@
 
   void Answer(const FollowStep& aStep, std::uint64_t aUpTo)
   {
-    if (const auto* entries = std::get_if<FollowEntries>(&aStep)) {
+    if (const auto* entries = std::get_if<FetchEntries>(&aStep)) {
       const auto first =
         *rc::gen::inRange<std::uint64_t>(1, entries->after + 2);
       // A stale read may report an older version as the head.
       const bool at_head = aUpTo == m_head || *rc::gen::inRange(0, 4) == 0;
       m_follower.OnEntries(m_now, Entries(first, aUpTo), at_head);
       RecordReported(aUpTo < first ? 0 : aUpTo);
-    } else if (std::holds_alternative<FollowSnapshot>(aStep)) {
+    } else if (std::holds_alternative<FetchStoredSnapshot>(aStep)) {
       m_follower.OnStoredSnapshot(m_now, Snapshot(aUpTo));
       RecordReported(aUpTo);
-    } else if (const auto* ask = std::get_if<FollowPeer>(&aStep)) {
+    } else if (const auto* ask = std::get_if<FetchPeerSnapshot>(&aStep)) {
       m_follower.OnPeerSnapshot(m_now, ask->peer, Snapshot(aUpTo));
       RecordReported(aUpTo);
     }
@@ -145,19 +145,19 @@
 
 TEST(TableFollower, StartsFromTheSnapshotAndTheRest)
 {
-  CHECK(Wants<FollowSnapshot>());
+  CHECK(Wants<FetchStoredSnapshot>());
   follower.OnStoredSnapshot(now, Snapshot(5));
-  CHECK_EQUAL(5U, std::get<FollowEntries>(follower.Next(now)).after);
+  CHECK_EQUAL(5U, std::get<FetchEntries>(follower.Next(now)).after);
   CHECK(follower.NotReady().has_value());
   follower.OnEntries(now, Entries(6, 8), false);
   CHECK(follower.NotReady().has_value());
-  CHECK_EQUAL(8U, std::get<FollowEntries>(follower.Next(now)).after);
+  CHECK_EQUAL(8U, std::get<FetchEntries>(follower.Next(now)).after);
   follower.OnEntries(now, Entries(9, 9), true);
   CHECK_FALSE(follower.NotReady().has_value());
   CHECK_EQUAL(9U, follower.View().Version());
   CHECK(std::get<FollowIdle>(follower.Next(now)).until == now + 1s);
   now += 1s;
-  CHECK(Wants<FollowEntries>());
+  CHECK(Wants<FetchEntries>());
 }
 
 TEST(TableFollower, IsNotReadyBelowAVersionThatAPeerReported)
@@ -168,7 +168,7 @@
                           "reported, still reading entries"),
               *follower.NotReady());
   now += 1s;
-  CHECK(Wants<FollowEntries>());
+  CHECK(Wants<FetchEntries>());
   follower.OnEntries(now, Entries(7, 7), true);
   CHECK_FALSE(follower.NotReady().has_value());
 }
@@ -177,12 +177,12 @@
 {
   Start(3);
   now += 1s;
-  CHECK(Wants<FollowEntries>());
+  CHECK(Wants<FetchEntries>());
   follower.OnEntries(now, Entries(9, 10), true);
   now += 1s;
-  CHECK(Wants<FollowSnapshot>());
+  CHECK(Wants<FetchStoredSnapshot>());
   follower.OnStoredSnapshot(now, Snapshot(9));
-  CHECK(Wants<FollowEntries>());
+  CHECK(Wants<FetchEntries>());
   follower.OnEntries(now, Entries(10, 10), true);
   CHECK_EQUAL(10U, follower.View().Version());
 }
@@ -195,7 +195,7 @@
               *follower.NotReady());
   follower.OnPeerVersion(kOldPeer, 4);
   follower.OnPeerVersion(kNewPeer, 6);
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
+  CHECK(std::get<FetchPeerSnapshot>(follower.Next(now)).peer == kNewPeer);
   follower.OnPeerSnapshot(now, kNewPeer, Snapshot(6));
   // Another peer may report a newer version.
   CHECK(follower.NotReady().has_value());
@@ -210,16 +210,16 @@
   FailService();
   follower.OnPeerVersion(kOldPeer, 4);
   follower.OnPeerVersion(kNewPeer, 6);
-  CHECK(Wants<FollowPeer>());
+  CHECK(Wants<FetchPeerSnapshot>());
   now += 3s; // The peer timeout.
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kOldPeer);
+  CHECK(std::get<FetchPeerSnapshot>(follower.Next(now)).peer == kOldPeer);
   follower.OnPeerSnapshot(now, kOldPeer, Snapshot(4));
   follower.Next(now);
   CHECK(follower.NotReady().has_value()); // Version 6 was reported.
   now += 4s;
   follower.Next(now);
   follower.OnServiceFailed(now, "down");
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
+  CHECK(std::get<FetchPeerSnapshot>(follower.Next(now)).peer == kNewPeer);
 }
 
 TEST(TableFollower, AReadyInstanceStaysReadyAndFollowsPeersInAnOutage)
@@ -229,7 +229,7 @@
   FailService();
   CHECK_FALSE(follower.NotReady().has_value());
   follower.OnPeerVersion(kNewPeer, 4);
-  CHECK(std::get<FollowPeer>(follower.Next(now)).peer == kNewPeer);
+  CHECK(std::get<FetchPeerSnapshot>(follower.Next(now)).peer == kNewPeer);
   follower.OnPeerSnapshot(now, kNewPeer, Snapshot(4));
   CHECK_EQUAL(4U, follower.View().Version());
   CHECK(follower.Age(now) == 1s);
--- a/src/jujubehead/core/table_publish.cpp
+++ b/src/jujubehead/core/table_publish.cpp
@@ -130,21 +130,21 @@
   if (m_failures >= kMaxFailures) {
     return GaveUp{ std::move(aWhy), m_unresolved_version != 0 };
   }
-  return WaitAWhile{ m_failures };
+  return BackOff{ m_failures };
 }
 
 PublishStep
 TablePublish::OnEntries(const EntriesRead& aRead)
 {
   for (const ChangeEntry& entry : aRead.entries) {
-    const Applied applied = m_view.Apply(entry);
-    if (applied == Applied::kGap) {
+    const ApplyResult applied = m_view.Apply(entry);
+    if (applied == ApplyResult::kGap) {
       return GaveUp{ "the entries after version " +
                        std::to_string(m_view.Version()) +
                        " were deleted; start again from the current table",
                      m_unresolved_version != 0 };
     }
-    if (applied == Applied::kInForce) {
+    if (applied == ApplyResult::kAdvanced) {
       m_failures = 0;
       RecordEntry(entry);
     }
@@ -204,7 +204,7 @@
     m_view.Version() + 1, m_token, m_author, PendingChanges()
   };
   if (entry.changes.empty()) {
-    return AlreadyInForce{ m_view.Version() };
+    return AlreadyApplied{ m_view.Version() };
   }
   std::vector<ChangeConflict> conflicts = Conflicts();
   if (!conflicts.empty()) {
--- a/src/jujubehead/core/table_publish_test.cpp
+++ b/src/jujubehead/core/table_publish_test.cpp
@@ -91,7 +91,7 @@
   {
     return !std::holds_alternative<ReadEntries>(m_step) &&
            !std::holds_alternative<CommitEntry>(m_step) &&
-           !std::holds_alternative<WaitAWhile>(m_step);
+           !std::holds_alternative<BackOff>(m_step);
   }
   [[nodiscard]] const PublishStep& Result() const { return m_step; }
   [[nodiscard]] const std::string& Name() const { return m_name; }
@@ -228,7 +228,7 @@
            aLog.entries[published->version - 1].author == aOperator.Name();
   }
   if (const auto* gave_up = std::get_if<GaveUp>(&result)) {
-    return count == 0 || (count == 1 && gave_up->may_be_in_force);
+    return count == 0 || (count == 1 && gave_up->may_be_applied);
   }
   return count == 0;
 }
@@ -326,7 +326,7 @@
   TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   const auto step = publish.On(
     EntriesRead{ { EntryOf(2, { PutRow{ MakeRow(1, 2) } }) }, true });
-  CHECK_EQUAL(2U, std::get<AlreadyInForce>(step).version);
+  CHECK_EQUAL(2U, std::get<AlreadyApplied>(step).version);
 }
 
 TEST(TablePublish, RefusesAMergedTableThatIsInvalid)
@@ -343,7 +343,7 @@
   TablePublish publish = Publish({ PutRow{ MakeRow(1, 2) } });
   auto step = publish.On(EntriesRead{});
   ChangeEntry own = std::get<CommitEntry>(step).entry;
-  CHECK(std::holds_alternative<WaitAWhile>(publish.On(CommitUnknown{ "" })));
+  CHECK(std::holds_alternative<BackOff>(publish.On(CommitUnknown{ "" })));
   CHECK(std::holds_alternative<ReadEntries>(publish.On(Continue{})));
   step = publish.On(
     EntriesRead{ { own, EntryOf(3, { PutRow{ MakeRow(1, 9) } }) }, true });
@@ -371,7 +371,7 @@
     while (!std::holds_alternative<GaveUp>(step)) {
       step = publish.On(Unavailable{ "down" });
     }
-    CHECK_EQUAL(unsettled, std::get<GaveUp>(step).may_be_in_force);
+    CHECK_EQUAL(unsettled, std::get<GaveUp>(step).may_be_applied);
     CHECK_EQUAL(std::string("down"), std::get<GaveUp>(step).why);
   }
 }
--- a/src/jujubehead/core/weights/order_lease.cpp
+++ b/src/jujubehead/core/weights/coordinator_lease.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/weights/order_lease.hpp"
+#include "jujubehead/core/weights/coordinator_lease.hpp"
 
 #include <algorithm> // for min
 #include <utility>   // for move
@@ -42,17 +42,18 @@
   return row;
 }
 
-OrderLease::OrderLease(std::string aSelf, OrderLeaseOptions aOptions)
+CoordinatorLease::CoordinatorLease(std::string aSelf,
+                                   CoordinatorLeaseOptions aOptions)
   : m_self(std::move(aSelf))
   , m_options(aOptions)
 {
 }
 
 void
-OrderLease::OnRow(std::string_view aHolder,
-                  std::uint64_t aVersion,
-                  Instant aNow,
-                  std::optional<Instant> aBegun)
+CoordinatorLease::OnRow(std::string_view aHolder,
+                        std::uint64_t aVersion,
+                        Instant aNow,
+                        std::optional<Instant> aBegun)
 {
   if (m_unchanged_since && aVersion <= m_row_version) {
     return;
@@ -66,7 +67,7 @@
 }
 
 bool
-OrderLease::MayTake(Instant aNow) const
+CoordinatorLease::MayAcquire(Instant aNow) const
 {
   if (!m_unchanged_since || (m_is_retired && !Holds(aNow))) {
     return false;
@@ -79,13 +80,13 @@
 }
 
 bool
-OrderLease::IsRenewalDue(Instant aNow) const
+CoordinatorLease::IsRenewalDue(Instant aNow) const
 {
   return !m_last_write_start || aNow - *m_last_write_start >= m_options.renewal;
 }
 
 void
-OrderLease::OnWritten(std::uint64_t aVersion, Instant aBegun)
+CoordinatorLease::OnWritten(std::uint64_t aVersion, Instant aBegun)
 {
   const bool was_held = Holds(aBegun);
   m_row_version = aVersion;
@@ -98,7 +99,7 @@
 }
 
 bool
-OrderLease::Holds(Instant aUntil) const
+CoordinatorLease::Holds(Instant aUntil) const
 {
   return m_was_last_holder && m_last_write_start &&
          aUntil < *m_last_write_start + m_options.term;
--- a/src/jujubehead/core/weights/order_lease_test.cpp
+++ b/src/jujubehead/core/weights/coordinator_lease_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/weights/order_lease.hpp"
+#include "jujubehead/core/weights/coordinator_lease.hpp"
 
 #include <string> // for string
 #include <vector> // for vector
@@ -42,7 +42,7 @@
 public:
   /// @param aBackdates whether writers record a time before they began: an
   /// injected fault.
-  explicit Simulation(OrderLeaseOptions aOptions, bool aBackdates = false)
+  explicit Simulation(CoordinatorLeaseOptions aOptions, bool aBackdates = false)
     : m_options(aOptions)
     , m_backdates(aBackdates)
   {
@@ -54,14 +54,14 @@
   void Run(const Step& aStep)
   {
     now += milliseconds(aStep.pause_ms);
-    OrderLease& lease = leases[aStep.instance];
+    CoordinatorLease& lease = leases[aStep.instance];
     if (aStep.restarts) {
       lease = NewLease(aStep.instance);
     }
     if (aStep.reads) {
       lease.OnRow(holder, version, now, begun);
     }
-    if (lease.MayTake(now) && lease.IsRenewalDue(now)) {
+    if (lease.MayAcquire(now) && lease.IsRenewalDue(now)) {
       Write(aStep, lease);
     }
     if (lease.Holds(now)) {
@@ -69,7 +69,7 @@
     }
   }
 
-  std::vector<OrderLease> leases;
+  std::vector<CoordinatorLease> leases;
   std::vector<Command> commands;
   Instant now{ std::chrono::seconds(100) };
   std::string holder;
@@ -77,13 +77,13 @@
   std::optional<Instant> begun; ///< As recorded in the row.
 
 private:
-  OrderLease NewLease(std::size_t aInstance)
+  CoordinatorLease NewLease(std::size_t aInstance)
   {
     const std::string run = std::to_string(++m_runs);
     return { "i" + std::to_string(aInstance) + "/" + run, m_options };
   }
 
-  void Write(const Step& aStep, OrderLease& aLease)
+  void Write(const Step& aStep, CoordinatorLease& aLease)
   {
     const Instant began = now;
     now += milliseconds(aStep.write_delay_ms);
@@ -102,7 +102,7 @@
     }
   }
 
-  OrderLeaseOptions m_options;
+  CoordinatorLeaseOptions m_options;
   bool m_backdates;
   std::size_t m_runs = 0;
 };
@@ -147,7 +147,7 @@
 }
 
 bool
-HoldsForAnySteps(const OrderLeaseOptions& aOptions,
+HoldsForAnySteps(const CoordinatorLeaseOptions& aOptions,
                  Duration aGap,
                  bool aBackdates = false)
 {
@@ -162,17 +162,17 @@
 
 } // namespace
 
-TEST_GROUP(OrderLease){};
+TEST_GROUP(CoordinatorLease){};
 
-TEST(OrderLease, CommandsOfTwoHoldersAreSeparatedUnderDelays)
+TEST(CoordinatorLease, CommandsOfTwoHoldersAreSeparatedUnderDelays)
 {
-  const OrderLeaseOptions options;
+  const CoordinatorLeaseOptions options;
   CHECK(HoldsForAnySteps(options, options.gap));
 }
 
-TEST(OrderLease, CheckDetectsEarlyAcquisition)
+TEST(CoordinatorLease, CheckDetectsEarlyAcquisition)
 {
-  OrderLeaseOptions broken;
+  CoordinatorLeaseOptions broken;
   const Duration gap = broken.gap;
   broken.gap = Duration(0);
   broken.margin = Duration(0);
@@ -180,34 +180,34 @@
   CHECK_FALSE(HoldsForAnySteps(broken, gap));
 }
 
-TEST(OrderLease, CheckDetectsBackdatedRow)
+TEST(CoordinatorLease, CheckDetectsBackdatedRow)
 {
-  const OrderLeaseOptions options;
+  const CoordinatorLeaseOptions options;
   CHECK_FALSE(HoldsForAnySteps(options, options.gap, true));
 }
 
-TEST(OrderLease, RestartWaitsOnlyForTheRemainingTime)
+TEST(CoordinatorLease, RestartWaitsOnlyForTheRemainingTime)
 {
-  const OrderLeaseOptions options;
+  const CoordinatorLeaseOptions options;
   const Duration whole = options.term + options.gap + options.margin;
   const Instant begun{ std::chrono::seconds(10) };
   const Instant now = begun + whole - milliseconds(100);
-  OrderLease lease("i2", options);
+  CoordinatorLease lease("i2", options);
   lease.OnRow("i1", 7, now, begun);
-  CHECK_FALSE(lease.MayTake(now));
-  CHECK(lease.MayTake(now + milliseconds(100)));
+  CHECK_FALSE(lease.MayAcquire(now));
+  CHECK(lease.MayAcquire(now + milliseconds(100)));
   // Without a write time, or with one in the future, the wait counts from the
   // read.
-  OrderLease other("i3", options);
+  CoordinatorLease other("i3", options);
   other.OnRow("i1", 7, now);
-  CHECK_FALSE(other.MayTake(now + whole - milliseconds(1)));
-  OrderLease third("i4", options);
+  CHECK_FALSE(other.MayAcquire(now + whole - milliseconds(1)));
+  CoordinatorLease third("i4", options);
   third.OnRow("i1", 7, now, now + milliseconds(500));
-  CHECK_FALSE(third.MayTake(now + whole - milliseconds(1)));
-  CHECK(third.MayTake(now + whole));
+  CHECK_FALSE(third.MayAcquire(now + whole - milliseconds(1)));
+  CHECK(third.MayAcquire(now + whole));
 }
 
-TEST(OrderLease, RowRoundTripsAndOtherTextNamesAHolder)
+TEST(CoordinatorLease, RowRoundTripsAndOtherTextNamesAHolder)
 {
   const LeaseRow row = LeaseRowOf(ToText(LeaseRow{ "i1/a", 42 }));
   STRCMP_EQUAL("i1/a", row.holder.c_str());
@@ -218,45 +218,45 @@
   CHECK_FALSE(other.begun.has_value());
 }
 
-TEST(OrderLease, IsNotAcquiredBeforeTheRowWasRead)
+TEST(CoordinatorLease, IsNotAcquiredBeforeTheRowWasRead)
 {
-  const OrderLease lease("i1", {});
-  CHECK_FALSE(lease.MayTake(Instant(std::chrono::hours(1))));
+  const CoordinatorLease lease("i1", {});
+  CHECK_FALSE(lease.MayAcquire(Instant(std::chrono::hours(1))));
 }
 
-TEST(OrderLease, LastHolderReacquiresWithNewToken)
+TEST(CoordinatorLease, LastHolderReacquiresWithNewToken)
 {
   const Instant now{ std::chrono::seconds(10) };
-  OrderLease lease("i1", {});
+  CoordinatorLease lease("i1", {});
   lease.OnRow("", 0, now);
   lease.OnWritten(7, now);
   CHECK(lease.Holds(now));
   const Instant later = now + std::chrono::seconds(10);
   CHECK_FALSE(lease.Holds(later));
-  CHECK(lease.MayTake(later));
+  CHECK(lease.MayAcquire(later));
   lease.OnWritten(12, later);
   LONGS_EQUAL(12, lease.FencingToken());
 }
 
-TEST(OrderLease, RetiredInstanceRenewsButDoesNotAcquire)
+TEST(CoordinatorLease, RetiredInstanceRenewsButDoesNotAcquire)
 {
   const Instant now{ std::chrono::seconds(10) };
-  OrderLease idle("i1", {});
+  CoordinatorLease idle("i1", {});
   idle.OnRow("", 0, now);
   idle.Retire();
-  CHECK_FALSE(idle.MayTake(now));
-  OrderLease holder("i2", {});
+  CHECK_FALSE(idle.MayAcquire(now));
+  CoordinatorLease holder("i2", {});
   holder.OnRow("", 0, now);
   holder.OnWritten(7, now);
   holder.Retire();
-  CHECK(holder.MayTake(now + milliseconds(500)));
-  CHECK_FALSE(holder.MayTake(now + milliseconds(1600)));
+  CHECK(holder.MayAcquire(now + milliseconds(500)));
+  CHECK_FALSE(holder.MayAcquire(now + milliseconds(1600)));
 }
 
-TEST(OrderLease, RenewalKeepsTheToken)
+TEST(CoordinatorLease, RenewalKeepsTheToken)
 {
   const Instant now{ std::chrono::seconds(10) };
-  OrderLease lease("i1", {});
+  CoordinatorLease lease("i1", {});
   lease.OnRow("", 0, now);
   lease.OnWritten(7, now);
   lease.OnWritten(8, now + milliseconds(500));
--- a/src/jujubehead/core/weights/rollout.cpp
+++ b/src/jujubehead/core/weights/rollout.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 bool
-WantedWeights::Add(std::uint64_t aVersion, Instant aOnlyNewerFrom)
+DesiredWeights::Add(std::uint64_t aVersion, Instant aOnlyNewerFrom)
 {
   if (aVersion <= Newest()) {
     return false;
@@ -48,13 +48,13 @@
 }
 
 std::uint64_t
-WantedWeights::Newest() const
+DesiredWeights::Newest() const
 {
   return m_deadlines.empty() ? 0 : m_deadlines.rbegin()->first;
 }
 
 Instant
-WantedWeights::BeginUntil(std::uint64_t aVersion) const
+DesiredWeights::StartDeadline(std::uint64_t aVersion) const
 {
   Instant until = Instant::max();
   for (const auto& [version, deadline] : m_deadlines) {
@@ -66,7 +66,7 @@
 }
 
 std::uint64_t
-WantedWeights::OldestAllowed(Instant aWhen) const
+DesiredWeights::OldestAllowed(Instant aWhen) const
 {
   std::uint64_t oldest = 0;
   for (const auto& [version, deadline] : m_deadlines) {
--- a/src/jujubehead/core/weights/rollout_test.cpp
+++ b/src/jujubehead/core/weights/rollout_test.cpp
@@ -73,7 +73,7 @@
 
 TEST(Rollout, EachVersionHasItsOwnDeadline)
 {
-  WantedWeights wanted;
+  DesiredWeights wanted;
   CHECK(wanted.Add(2, now + seconds(10)));
   CHECK_FALSE(wanted.Add(2, now + seconds(20)));
   CHECK(wanted.Add(3, now + seconds(14)));
@@ -81,9 +81,9 @@
   LONGS_EQUAL(0, wanted.OldestAllowed(now + seconds(9)));
   LONGS_EQUAL(2, wanted.OldestAllowed(now + seconds(10)));
   LONGS_EQUAL(3, wanted.OldestAllowed(now + seconds(14)));
-  CHECK(wanted.BeginUntil(1) == now + seconds(10));
-  CHECK(wanted.BeginUntil(2) == now + seconds(14));
-  CHECK(wanted.BeginUntil(3) == Instant::max());
+  CHECK(wanted.StartDeadline(1) == now + seconds(10));
+  CHECK(wanted.StartDeadline(2) == now + seconds(14));
+  CHECK(wanted.StartDeadline(3) == Instant::max());
 }
 
 TEST(Rollout, StateRoundTripsAndInvalidTextIsEmpty)
--- a/src/jujubehead/core/weights/old_weights.cpp
+++ b/src/jujubehead/core/weights/stale_weights_deadlines.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/weights/old_weights.hpp"
+#include "jujubehead/core/weights/stale_weights_deadlines.hpp"
 
 #include <algorithm> // for max
 
@@ -14,7 +14,7 @@
 } // namespace
 
 std::string
-ToText(const NamingRecord& aRecord)
+ToText(const AnnouncementRecord& aRecord)
 {
   json named = json::array();
   for (const auto& [version, when] : aRecord) {
@@ -23,10 +23,10 @@
   return json{ { kNamed, named } }.dump();
 }
 
-NamingRecord
-NamingRecordOf(const std::string& aText)
+AnnouncementRecord
+AnnouncementRecordOf(const std::string& aText)
 {
-  NamingRecord record;
+  AnnouncementRecord record;
   try {
     const json parsed = json::parse(aText);
     for (const json& entry : parsed.at(kNamed)) {
@@ -40,17 +40,17 @@
 }
 
 bool
-OldWeights::OnRead(const ModelId& aModel,
-                   std::uint64_t aVersion,
-                   bool aIsSnapshot,
-                   Instant aAnswered)
+StaleWeightsDeadlines::OnRead(const ModelId& aModel,
+                              std::uint64_t aVersion,
+                              bool aIsSnapshot,
+                              Instant aAnswered)
 {
   Model& model = m_models[aModel];
   if (aVersion <= model.newest) {
     return false;
   }
   model.newest = aVersion;
-  Naming announcement;
+  Announcement announcement;
   if (!aIsSnapshot) {
     announcement.when = aAnswered;
   } else if (m_last_answer) {
@@ -58,31 +58,31 @@
   } else {
     // All instances may have stopped before any of them recorded it. Half of
     // the time is left for the roll-out, which takes some seven seconds of ten.
-    announcement.when = aAnswered - m_time.in_one / 2;
+    announcement.when = aAnswered - m_time.max_continuous / 2;
     announcement.is_assumed = true;
   }
   model.announcements.emplace(aVersion, announcement);
-  while (model.announcements.size() > kMostNamings) {
+  while (model.announcements.size() > kMaxAnnouncements) {
     model.announcements.erase(model.announcements.begin());
   }
   return true;
 }
 
 bool
-OldWeights::OnRecorded(const ModelId& aModel,
-                       std::uint64_t aVersion,
-                       Instant aWhen,
-                       Instant aNow)
+StaleWeightsDeadlines::OnRecorded(const ModelId& aModel,
+                                  std::uint64_t aVersion,
+                                  Instant aWhen,
+                                  Instant aNow)
 {
   if (aWhen > aNow) {
     return false;
   }
-  const auto [known, is_new] =
-    m_models[aModel].announcements.emplace(aVersion, Naming{ aWhen, false });
+  const auto [known, is_new] = m_models[aModel].announcements.emplace(
+    aVersion, Announcement{ aWhen, false });
   if (is_new) {
     return true;
   }
-  Naming& announcement = known->second;
+  Announcement& announcement = known->second;
   if (!announcement.is_assumed && announcement.when <= aWhen) {
     return false;
   }
@@ -91,16 +91,16 @@
 }
 
 bool
-OldWeights::OnAnswer(Instant aAsked, Instant aAnswered)
+StaleWeightsDeadlines::OnAnswer(Instant aAsked, Instant aAnswered)
 {
   m_last_answer = std::max(m_last_answer.value_or(aAnswered), aAnswered);
   return m_absences.OnAnswer(aAsked);
 }
 
-std::map<ModelId, WantedWeights>
-OldWeights::Wanted(Instant aNow) const
+std::map<ModelId, DesiredWeights>
+StaleWeightsDeadlines::Wanted(Instant aNow) const
 {
-  std::map<ModelId, WantedWeights> wanted;
+  std::map<ModelId, DesiredWeights> wanted;
   for (const auto& [id, model] : m_models) {
     for (const auto& [version, announcement] : model.announcements) {
       // The record may be newer than the operator's rows that were read.
@@ -113,15 +113,16 @@
 }
 
 Instant
-OldWeights::DeadlineOf(const Naming& aAnnouncement, Instant aNow) const
+StaleWeightsDeadlines::DeadlineOf(const Announcement& aAnnouncement,
+                                  Instant aNow) const
 {
   return aAnnouncement.is_assumed && !m_is_record_read
            ? aAnnouncement.when
            : m_absences.EndOf(aAnnouncement.when, m_time, aNow);
 }
 
-std::map<std::uint64_t, OldWeights::Naming>
-OldWeights::ToRecord(const ModelId& aModel) const
+std::map<std::uint64_t, StaleWeightsDeadlines::Announcement>
+StaleWeightsDeadlines::AnnouncementsOf(const ModelId& aModel) const
 {
   const auto model = m_models.find(aModel);
   if (model == m_models.end()) {
--- a/src/jujubehead/core/weights/old_weights_test.cpp
+++ b/src/jujubehead/core/weights/stale_weights_deadlines_test.cpp
@@ -1,4 +1,4 @@
-#include "jujubehead/core/weights/old_weights.hpp"
+#include "jujubehead/core/weights/stale_weights_deadlines.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-const HeardTime kTime{ seconds(10), seconds(14) };
+const AvailableTimeLimits kTime{ seconds(10), seconds(14) };
 const ModelId kModel("m1");
 
 Instant
@@ -18,17 +18,17 @@
 
 } // namespace
 
-TEST_GROUP(OldWeights)
+TEST_GROUP(StaleWeightsDeadlines)
 {
-  OldWeights weights{ kTime };
+  StaleWeightsDeadlines weights{ kTime };
 
   Instant DeadlineOf(std::uint64_t aVersion, int aNowSeconds) const
   {
-    return weights.Wanted(At(aNowSeconds)).at(kModel).BeginUntil(aVersion);
+    return weights.Wanted(At(aNowSeconds)).at(kModel).StartDeadline(aVersion);
   }
 };
 
-TEST(OldWeights, ChangeCountsFromItsAnswer)
+TEST(StaleWeightsDeadlines, ChangeCountsFromItsAnswer)
 {
   weights.OnAnswer(At(1), At(1));
   CHECK(weights.OnRead(kModel, 2, false, At(5)));
@@ -37,31 +37,31 @@
   CHECK(DeadlineOf(2, 6) == Instant::max());
 }
 
-TEST(OldWeights, SnapshotCountsFromThePreviousAnswer)
+TEST(StaleWeightsDeadlines, SnapshotCountsFromThePreviousAnswer)
 {
   weights.OnAnswer(At(1), At(1));
   weights.OnRead(kModel, 2, true, At(5));
   CHECK(DeadlineOf(1, 6) == At(11));
 }
 
-TEST(OldWeights, AtStartHalfOfTheTimeIsAssumedToHavePassed)
+TEST(StaleWeightsDeadlines, AtStartHalfOfTheTimeIsAssumedToHavePassed)
 {
   weights.OnRead(kModel, 2, true, At(5));
   // Until the record is read, the deadline may have passed.
   CHECK(DeadlineOf(1, 6) <= At(5));
-  weights.OnRecordRead();
+  weights.OnRecordLoaded();
   CHECK(DeadlineOf(1, 6) == At(10));
 }
 
-TEST(OldWeights, RecordOfReplacedClockIsIgnored)
+TEST(StaleWeightsDeadlines, RecordOfReplacedClockIsIgnored)
 {
   weights.OnRead(kModel, 2, true, At(5));
   CHECK_FALSE(weights.OnRecorded(kModel, 2, At(86400), At(5)));
-  weights.OnRecordRead();
+  weights.OnRecordLoaded();
   CHECK(DeadlineOf(1, 6) == At(10));
 }
 
-TEST(OldWeights, RecordReplacesAssumption)
+TEST(StaleWeightsDeadlines, RecordReplacesAssumption)
 {
   weights.OnRead(kModel, 2, true, At(20));
   CHECK(weights.OnRecorded(kModel, 2, At(18), At(20)));
@@ -71,7 +71,7 @@
   CHECK(DeadlineOf(1, 20) == At(26));
 }
 
-TEST(OldWeights, RecordHasVersionsThatTheOperatorsRowNoLongerHas)
+TEST(StaleWeightsDeadlines, RecordHasVersionsThatTheOperatorsRowNoLongerHas)
 {
   weights.OnRead(kModel, 3, true, At(20));
   weights.OnRecorded(kModel, 2, At(8), At(20));
@@ -80,7 +80,7 @@
   CHECK(DeadlineOf(2, 20) == At(28));
 }
 
-TEST(OldWeights, RecordNewerThanTheOperatorsRowsTakesEffectWithThem)
+TEST(StaleWeightsDeadlines, RecordNewerThanTheOperatorsRowsTakesEffectWithThem)
 {
   weights.OnRead(kModel, 2, false, At(5));
   weights.OnRecorded(kModel, 3, At(6), At(7));
@@ -89,7 +89,7 @@
   CHECK(DeadlineOf(2, 8) == At(16));
 }
 
-TEST(OldWeights, OutageRestartsTheTimeWithinTheTotalLimit)
+TEST(StaleWeightsDeadlines, OutageRestartsTheTimeWithinTheTotalLimit)
 {
   weights.OnAnswer(At(1), At(1));
   weights.OnRead(kModel, 2, false, At(5));
@@ -100,20 +100,20 @@
   CHECK(DeadlineOf(1, 14) == At(22));
 }
 
-TEST(OldWeights, RecordIsBounded)
+TEST(StaleWeightsDeadlines, RecordIsBounded)
 {
   for (std::uint64_t version = 2; version < 40; ++version) {
     weights.OnRead(kModel, version, false, At(5));
   }
-  const auto announcements = weights.ToRecord(kModel);
+  const auto announcements = weights.AnnouncementsOf(kModel);
   LONGS_EQUAL(8, announcements.size());
   LONGS_EQUAL(39, announcements.rbegin()->first);
 }
 
-TEST(OldWeights, RecordRoundTripsAndInvalidTextIsEmpty)
+TEST(StaleWeightsDeadlines, RecordRoundTripsAndInvalidTextIsEmpty)
 {
-  const NamingRecord record{ { 2, 1000 }, { 3, 5000 } };
-  CHECK(record == NamingRecordOf(ToText(record)));
-  CHECK(NamingRecordOf("{\"named\":[[\"x\"]]}").empty());
-  CHECK(NamingRecordOf("]").empty());
+  const AnnouncementRecord record{ { 2, 1000 }, { 3, 5000 } };
+  CHECK(record == AnnouncementRecordOf(ToText(record)));
+  CHECK(AnnouncementRecordOf("{\"named\":[[\"x\"]]}").empty());
+  CHECK(AnnouncementRecordOf("]").empty());
 }
--- a/src/jujubehead/core/weights/superseded_versions.cpp
+++ b/src/jujubehead/core/weights/superseded_versions.cpp
@@ -41,7 +41,7 @@
 }
 
 std::size_t
-SupersededVersions::Due(Duration aFor, Instant aNow) const
+SupersededVersions::CountSupersededFor(Duration aFor, Instant aNow) const
 {
   std::size_t due = 0;
   for (const auto& [model, wanted] : m_wanted) {
--- a/src/jujubehead/core/weights/superseded_versions_test.cpp
+++ b/src/jujubehead/core/weights/superseded_versions_test.cpp
@@ -55,12 +55,14 @@
 TEST(SupersededVersions, CountGrowsWhenAVersionHasBeenSupersededLongEnough)
 {
   SupersededVersions versions;
-  LONGS_EQUAL(0, versions.Due({}, kStart));
+  LONGS_EQUAL(0, versions.CountSupersededFor({}, kStart));
   versions.OnWanted(kModel, 2, kStart);
   versions.OnWanted(kModel, 3, kStart + kSecond);
-  LONGS_EQUAL(0, versions.Due(2 * kSecond, kStart + kSecond));
-  LONGS_EQUAL(1, versions.Due(2 * kSecond, kStart + 2 * kSecond));
-  LONGS_EQUAL(2, versions.Due(2 * kSecond, kStart + 3 * kSecond));
+  LONGS_EQUAL(0, versions.CountSupersededFor(2 * kSecond, kStart + kSecond));
+  LONGS_EQUAL(1,
+              versions.CountSupersededFor(2 * kSecond, kStart + 2 * kSecond));
+  LONGS_EQUAL(2,
+              versions.CountSupersededFor(2 * kSecond, kStart + 3 * kSecond));
 }
 
 TEST(SupersededVersions, OtherModelsAndInvalidScopesAreNotContained)
--- a/src/jujubehead/net/claim_store_test.cpp
+++ b/src/jujubehead/net/claim_store_test.cpp
@@ -76,7 +76,7 @@
 TEST(ClaimStore, NothingRunsWhileTheServiceIsAway)
 {
   core::ClaimRules rules;
-  rules.patience = std::chrono::milliseconds(20);
+  rules.settle_timeout = std::chrono::milliseconds(20);
   const auto hasty = Make(rules);
   service.down = true;
   CHECK(Take(*hasty, Key("k")).outcome == ClaimOutcome::kUnavailable);
--- a/src/jujubehead/net/engine_client_test.cpp
+++ b/src/jujubehead/net/engine_client_test.cpp
@@ -72,7 +72,7 @@
   net::test::RunIn(context, [&]() -> awaitable<void> {
     const net::CacheEventPage page = co_await store.EventsAfter(0);
     const auto copy = page.events.at(0).copy;
-    CHECK(copy == (core::CopyName{ "h", 12 }));
+    CHECK(copy == (core::CopyId{ "h", 12 }));
   });
 }
 
--- a/src/jujubehead/net/json_call.cpp
+++ b/src/jujubehead/net/json_call.cpp
@@ -66,8 +66,8 @@
   }
   event.kind = *kind;
   if (aEvent.contains("handle")) {
-    event.copy = core::CopyName{ aEvent["handle"].get<std::string>(),
-                                 GenerationOf(aEvent.at("generation")) };
+    event.copy = core::CopyId{ aEvent["handle"].get<std::string>(),
+                               GenerationOf(aEvent.at("generation")) };
   }
   return event;
 }
--- a/src/jujubehead/net/store_client.cpp
+++ b/src/jujubehead/net/store_client.cpp
@@ -52,7 +52,7 @@
 }
 
 awaitable<void>
-StoreClient::Delete(core::CopyName aCopy)
+StoreClient::Delete(core::CopyId aCopy)
 {
   const std::string target =
     "/v1/kv/" + aCopy.handle + "/" + std::to_string(aCopy.generation);
--- a/src/jujubehead/net/table_log.cpp
+++ b/src/jujubehead/net/table_log.cpp
@@ -84,7 +84,7 @@
       std::erase_if(read.entries, [&](const core::ChangeEntry& aEntry) {
         return aEntry.version > aVersion;
       });
-      if (view.Apply(read.entries) != core::Applied::kInForce) {
+      if (view.Apply(read.entries) != core::ApplyResult::kAdvanced) {
         co_return std::nullopt;
       }
     }
@@ -100,7 +100,7 @@
     bool at_head = false;
     while (!at_head) {
       const core::EntriesRead read = co_await ReadAfter(view.Version());
-      if (view.Apply(read.entries) == core::Applied::kGap) {
+      if (view.Apply(read.entries) == core::ApplyResult::kGap) {
         throw TableServiceError("entries after version " +
                                 std::to_string(view.Version()) +
                                 " are missing in the table service");
--- a/src/jujubehead/net/table_log_drivers.cpp
+++ b/src/jujubehead/net/table_log_drivers.cpp
@@ -39,7 +39,7 @@
   if (const auto* commit = std::get_if<core::CommitEntry>(&aStep)) {
     co_return co_await aLog.Commit(commit->entry);
   }
-  if (const auto* wait = std::get_if<core::WaitAWhile>(&aStep)) {
+  if (const auto* wait = std::get_if<core::BackOff>(&aStep)) {
     const unsigned doublings = std::min(wait->failures - 1, kMaxDoublings);
     co_await aSleep(kFirstWait * (1U << doublings));
     co_return core::Continue{};
@@ -130,11 +130,11 @@
   if (const auto* idle = std::get_if<core::FollowIdle>(&step)) {
     co_return idle->until;
   }
-  if (const auto* entries = std::get_if<core::FollowEntries>(&step)) {
+  if (const auto* entries = std::get_if<core::FetchEntries>(&step)) {
     co_await FollowService(aLog, aFollower, entries->after);
-  } else if (std::holds_alternative<core::FollowSnapshot>(step)) {
+  } else if (std::holds_alternative<core::FetchStoredSnapshot>(step)) {
     co_await FollowStore(aLog, aFollower);
-  } else if (const auto* ask = std::get_if<core::FollowPeer>(&step)) {
+  } else if (const auto* ask = std::get_if<core::FetchPeerSnapshot>(&step)) {
     co_await AskPeer(aFollower, ask->peer, aAskPeer);
   }
   co_return RuntimeClock::now();
--- a/src/jujubehead/node/completion_run.cpp
+++ b/src/jujubehead/node/completion_run.cpp
@@ -53,7 +53,7 @@
 {
   net::HttpResponse response;
 };
-using AttemptEnd = std::variant<Done, Retry, PassOn>;
+using AttemptOutcome = std::variant<Done, Retry, PassOn>;
 
 net::ApiError
 TargetFailed(std::string aWhat)
@@ -131,7 +131,7 @@
         co_return;
       }
       HeldRun& run = *std::get<std::unique_ptr<HeldRun>>(next);
-      const AttemptEnd end = co_await Attempt(run);
+      const AttemptOutcome end = co_await Attempt(run);
       if (std::holds_alternative<Done>(end)) {
         co_return;
       }
@@ -170,7 +170,7 @@
     return ask;
   }
 
-  asio::awaitable<AttemptEnd> Attempt(HeldRun& aRun)
+  asio::awaitable<AttemptOutcome> Attempt(HeldRun& aRun)
   {
     if (m_attempts.CallerGone() || !aRun.MayStart()) {
       co_return Retry{ false, TargetFailed("the permit came too late") };
@@ -234,7 +234,8 @@
   }
 
   /// The target refused before it ran anything (see the outward interfaces).
-  asio::awaitable<AttemptEnd> Refused(HeldRun& aRun, net::HttpStream& aStream)
+  asio::awaitable<AttemptOutcome> Refused(HeldRun& aRun,
+                                          net::HttpStream& aStream)
   {
     const unsigned status = aStream.Status();
     std::string body;
@@ -261,8 +262,8 @@
     co_return pass;
   }
 
-  asio::awaitable<AttemptEnd> ForwardStream(HeldRun& aRun,
-                                            net::HttpStream& aStream)
+  asio::awaitable<AttemptOutcome> ForwardStream(HeldRun& aRun,
+                                                net::HttpStream& aStream)
   {
     if (m_exchange.HasStarted()) {
       m_progress.Resume();
@@ -297,8 +298,8 @@
     co_return Done{};
   }
 
-  asio::awaitable<AttemptEnd> ForwardWhole(HeldRun& aRun,
-                                           net::HttpStream& aStream)
+  asio::awaitable<AttemptOutcome> ForwardWhole(HeldRun& aRun,
+                                               net::HttpStream& aStream)
   {
     net::HttpResponse response;
     for (;;) {
@@ -373,7 +374,7 @@
       return;
     }
     const Admitted& place = aRun.Place();
-    wire::KeepOffer offer;
+    wire::ExportOffer offer;
     offer.target = place.target;
     offer.fencing = place.permit.epoch;
     offer.account = m_scope.account;
--- a/src/jujubehead/node/control.cpp
+++ b/src/jujubehead/node/control.cpp
@@ -119,16 +119,16 @@
   Control& self;
   const core::InstanceId& from;
 
-  wire::Message operator()(const wire::QuoteAsk& aAsk) const
+  wire::Message operator()(const wire::QuoteRequest& aAsk) const
   {
     return self.m_owner.Quote(aAsk);
   }
-  wire::Message operator()(const wire::PermitAsk& aAsk) const
+  wire::Message operator()(const wire::PermitAcquire& aAsk) const
   {
     self.m_owner.OnAsk(from, aAsk);
     return wire::Ack{};
   }
-  wire::Message operator()(const wire::PermitAnswer& aAnswer) const
+  wire::Message operator()(const wire::PermitReply& aAnswer) const
   {
     self.m_entry.OnAnswer(aAnswer);
     return wire::Ack{};
@@ -148,11 +148,11 @@
     self.m_owner.OnRelease(aRelease);
     return wire::Ack{};
   }
-  wire::Message operator()(const wire::HoldingsAsk& aAsk) const
+  wire::Message operator()(const wire::HoldingsRequest& aAsk) const
   {
     return self.m_entry.Holdings(aAsk);
   }
-  wire::Message operator()(const wire::HoldersAsk& aAsk) const
+  wire::Message operator()(const wire::HoldersRequest& aAsk) const
   {
     return self.m_directory.Answer(aAsk);
   }
@@ -166,7 +166,7 @@
     self.m_directory.Learn(aHint);
     return wire::Ack{};
   }
-  wire::Message operator()(const wire::TableAsk& aAsk) const
+  wire::Message operator()(const wire::TablePageRequest& aAsk) const
   {
     return self.m_table.Page(aAsk);
   }
@@ -174,7 +174,7 @@
   {
     return self.m_table.Head();
   }
-  wire::Message operator()(const wire::KeepOffer& aOffer) const
+  wire::Message operator()(const wire::ExportOffer& aOffer) const
   {
     self.m_stores.OnOffer(aOffer);
     return wire::Ack{};
@@ -184,13 +184,13 @@
     self.m_stores.OnMissing(aMissing);
     return wire::Ack{};
   }
-  wire::Message operator()(const wire::LinkAsk& aAsk) const
+  wire::Message operator()(const wire::LinkQuoteRequest& aAsk) const
   {
     return self.m_stores.Quote(aAsk);
   }
-  wire::Message operator()(const core::HandedOver& aHanded) const
+  wire::Message operator()(const core::GroupHandover& aHanded) const
   {
-    self.m_ownership.OnHandedOver(aHanded);
+    self.m_ownership.OnHandover(aHanded);
     return wire::Ack{};
   }
   template<typename Message>
--- a/src/jujubehead/node/control/store_keeper.cpp
+++ b/src/jujubehead/node/control/block_reclaimer.cpp
@@ -1,4 +1,4 @@
-#include "store_keeper.hpp"
+#include "block_reclaimer.hpp"
 
 #include <string_view> // for string_view
 #include <utility>     // for move
@@ -59,7 +59,7 @@
 
 void
 BlockReclaimer::SetWanted(
-  const std::map<core::ModelId, core::WantedWeights>& aWanted)
+  const std::map<core::ModelId, core::DesiredWeights>& aWanted)
 {
   const core::Instant now = core::RuntimeClock::now();
   for (const auto& [model, wanted] : aWanted) {
@@ -76,9 +76,9 @@
 }
 
 void
-BlockReclaimer::OnSilence(const core::StoreId& aStore)
+BlockReclaimer::OnNoResponse(const core::StoreId& aStore)
 {
-  m_parts.OnSilence(aStore);
+  m_parts.OnNoResponse(aStore);
 }
 
 asio::awaitable<void>
@@ -87,7 +87,7 @@
   for (;;) {
     co_await net::Sleep(kCheckInterval);
     const core::Instant now = core::RuntimeClock::now();
-    const std::size_t due = m_versions.Due(kUnreadAfter, now);
+    const std::size_t due = m_versions.CountSupersededFor(kUnreadAfter, now);
     if (due != m_due_count) {
       m_due_count = due;
       m_has_pending = true;
@@ -121,7 +121,7 @@
   if (SupersededAt(aStore.id, kUnreadAfter).empty()) {
     co_return false;
   }
-  if (!m_parts.IsPresent(aStore.id, core::RuntimeClock::now())) {
+  if (!m_parts.IsReachable(aStore.id, core::RuntimeClock::now())) {
     co_return true;
   }
   const auto rank = static_cast<core::Duration::rep>(m_hooks.rank(aStore.id));
@@ -143,7 +143,7 @@
 BlockReclaimer::Free(core::DeclaredStore aStore,
                      std::vector<core::ScopedPart> aParts)
 {
-  FreeOrder order;
+  FreeRequest order;
   order.epoch = m_parts.EpochOf(aStore.id);
   order.parts = std::move(aParts);
   std::string why;
@@ -159,7 +159,7 @@
   if (!why.empty()) {
     line.Add("failed", why);
   }
-  DecisionLog::WriteAlways(line);
+  DecisionLog::WriteUnthrottled(line);
   co_return why.empty();
 }
 
--- a/src/jujubehead/node/control/store_keeper.hpp
+++ b/src/jujubehead/node/control/block_reclaimer.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_NODE_CONTROL_STORE_KEEPER_HPP
-#define JUJUBEHEAD_NODE_CONTROL_STORE_KEEPER_HPP
+#ifndef JUJUBEHEAD_NODE_CONTROL_BLOCK_RECLAIMER_HPP
+#define JUJUBEHEAD_NODE_CONTROL_BLOCK_RECLAIMER_HPP
 
 #include <cstddef>    // for size_t
 #include <functional> // for function
@@ -12,7 +12,7 @@
 
 #include "jujubehead/core/context/part_directory.hpp"      // for PartDirectory
 #include "jujubehead/core/routing/configuration.hpp"       // for DeclaredStore
-#include "jujubehead/core/weights/rollout.hpp"             // for WantedWeights
+#include "jujubehead/core/weights/rollout.hpp"             // for DesiredWeights
 #include "jujubehead/core/weights/superseded_versions.hpp" // for Superseded...
 #include "jujubehead/node/control/platform.hpp"            // for StoreCalls
 
@@ -52,12 +52,12 @@
 
   void Start();
   void SetStores(const std::vector<core::DeclaredStore>& aStores);
-  void SetWanted(const std::map<core::ModelId, core::WantedWeights>& aWanted);
+  void SetWanted(const std::map<core::ModelId, core::DesiredWeights>& aWanted);
   /// @param aAsOf assumed time at which the store sent the page.
   void OnPage(const core::StoreId& aStore,
               const core::PartEventPage& aPage,
               core::Instant aAsOf);
-  void OnSilence(const core::StoreId& aStore);
+  void OnNoResponse(const core::StoreId& aStore);
 
 private:
   boost::asio::awaitable<void> Run();
@@ -84,4 +84,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_CONTROL_STORE_KEEPER_HPP
+#endif // JUJUBEHEAD_NODE_CONTROL_BLOCK_RECLAIMER_HPP
--- a/src/jujubehead/node/control/entry_control.cpp
+++ b/src/jujubehead/node/control/entry_control.cpp
@@ -52,7 +52,7 @@
 LogSkippedRows(std::string_view aFeed, const std::vector<std::string>& aSkipped)
 {
   for (const std::string& what : aSkipped) {
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("row_left_out").Add("feed", aFeed).Add("why", what));
   }
 }
@@ -77,21 +77,21 @@
   , m_deadlines(aContext,
                 aOptions,
                 *m_platform.shared,
-                m_platform.known->StoreClock(),
+                m_platform.row_cache->StoreClock(),
                 m_instances,
                 MakeDeadlineHooks())
   , m_rollout(aContext,
               aOptions,
               *m_platform.shared,
               *m_platform.orders,
-              m_platform.known->StoreClock(),
+              m_platform.row_cache->StoreClock(),
               aForwarder)
   , m_reclaimer(aContext, *m_platform.stores, MakeReclaimerHooks())
   , m_stores(aContext, *m_platform.stores, m_role, MakeStoreHooks())
   , m_hubs(aContext,
            m_role,
            m_stores,
-           *m_platform.known,
+           *m_platform.row_cache,
            aPaths,
            MakeHubHooks())
 {
@@ -107,9 +107,9 @@
     m_reclaimer.OnPage(aStore, aPage, aAsOf);
     m_forwarder.OnPartEvents(aStore, std::move(aPage), aAsOf);
   };
-  hooks.on_silence = [this](const core::StoreId& aStore) {
-    m_reclaimer.OnSilence(aStore);
-    m_forwarder.OnStoreSilent(aStore);
+  hooks.on_failure = [this](const core::StoreId& aStore) {
+    m_reclaimer.OnNoResponse(aStore);
+    m_forwarder.OnStoreUnreachable(aStore);
   };
   return hooks;
 }
@@ -124,7 +124,7 @@
   };
   hooks.on_unused = [this](core::SupersededScopes aScopes) {
     m_stores.Forget(aScopes);
-    m_forwarder.ForgetParts(std::move(aScopes));
+    m_forwarder.DropParts(std::move(aScopes));
   };
   return hooks;
 }
@@ -149,15 +149,16 @@
 EntryControl::MakeHubHooks()
 {
   HubHooks hooks;
-  hooks.on_heard = [this](core::Instant aAsOf) {
-    m_forwarder.OnOperatorHeard(aAsOf);
+  hooks.on_synced = [this](core::Instant aAsOf) {
+    m_forwarder.OnOperatorContact(aAsOf);
   };
   hooks.exchange_loads =
-    [this](std::vector<core::HeardLoad> aReported,
-           std::function<void(std::vector<core::HeardLoad>)> aReply) {
+    [this](std::vector<core::TargetLoadReport> aReported,
+           std::function<void(std::vector<core::TargetLoadReport>)> aReply) {
       m_forwarder.ExchangeLoads(
         std::move(aReported),
-        [this, reply = std::move(aReply)](std::vector<core::HeardLoad> aOwn) {
+        [this,
+         reply = std::move(aReply)](std::vector<core::TargetLoadReport> aOwn) {
           asio::post(m_context, [reply, own = std::move(aOwn)]() mutable {
             reply(std::move(own));
           });
@@ -170,11 +171,11 @@
 EntryControl::Start()
 {
   m_role.OnStart(core::RuntimeClock::now());
-  FollowHooks<OperatorNews> operators;
-  operators.on_update = [this](const OperatorNews& aUpdate, bool aIsAll) {
+  FollowHooks<OperatorUpdate> operators;
+  operators.on_update = [this](const OperatorUpdate& aUpdate, bool aIsAll) {
     OnOperatorUpdate(aUpdate, aIsAll);
   };
-  operators.on_silence = [this](PlatformFault aFault) {
+  operators.on_failure = [this](PlatformFault aFault) {
     if (IsOutage(aFault)) {
       m_deadlines.OnOperatorFailure();
     }
@@ -186,25 +187,25 @@
   asio::co_spawn(m_context,
                  Follow(*m_platform.operators, operator_options, operators),
                  asio::detached);
-  FollowHooks<RegistryNews> registry;
-  registry.on_update = [this](const RegistryNews& aUpdate, bool aIsAll) {
+  FollowHooks<RegistryUpdate> registry;
+  registry.on_update = [this](const RegistryUpdate& aUpdate, bool aIsAll) {
     OnRegistryUpdate(aUpdate, aIsAll);
   };
-  registry.on_silence = [this](PlatformFault aFault) {
+  registry.on_failure = [this](PlatformFault aFault) {
     if (IsOutage(aFault)) {
-      m_book.OnSilence();
+      m_book.OnNoResponse();
     }
   };
   FollowOptions registry_options;
   registry_options.name = "registry";
   registry_options.pause = kRegistryPause;
-  registry_options.settle = core::kRoleSettle;
+  registry_options.settle = core::kHubSettleTime;
   registry_options.is_settled = [this] { return IsSettled(); };
   asio::co_spawn(m_context,
                  Follow(*m_platform.registry, registry_options, registry),
                  asio::detached);
-  FollowHooks<SharedNews> shared;
-  shared.on_update = [this](const SharedNews& aUpdate, bool aIsAll) {
+  FollowHooks<SharedUpdate> shared;
+  shared.on_update = [this](const SharedUpdate& aUpdate, bool aIsAll) {
     OnSharedUpdate(aUpdate, aIsAll);
   };
   FollowOptions shared_options;
@@ -213,9 +214,10 @@
   shared_options.pause = kSharedPause;
   shared_options.settle = kRowsSettle;
   shared_options.is_settled = [this] { return IsSettled(); };
-  asio::co_spawn(m_context,
-                 Follow<SharedNews>(*m_platform.shared, shared_options, shared),
-                 asio::detached);
+  asio::co_spawn(
+    m_context,
+    Follow<SharedUpdate>(*m_platform.shared, shared_options, shared),
+    asio::detached);
   asio::co_spawn(m_context, TickRegistry(), asio::detached);
   if (!m_options.relay_address.empty()) {
     SetInstances();
@@ -231,7 +233,7 @@
 EntryControl::IsSettled() const
 {
   const core::Instant now = core::RuntimeClock::now();
-  return m_role.Watches(now) || m_paths.IsFed(now);
+  return m_role.Watches(now) || m_paths.HasHubFeed(now);
 }
 
 bool
@@ -247,18 +249,18 @@
 }
 
 void
-EntryControl::OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll)
+EntryControl::OnOperatorUpdate(const OperatorUpdate& aUpdate, bool aIsAll)
 {
   m_operator_cursor = aUpdate.cursor;
-  LogSkippedRows("operator", aUpdate.unread);
-  if (!aUpdate.is_recalled) {
-    m_forwarder.OnOperatorHeard(aUpdate.told);
+  LogSkippedRows("operator", aUpdate.skipped_rows);
+  if (!aUpdate.is_from_cache) {
+    m_forwarder.OnOperatorContact(aUpdate.answered_at);
   }
   if (aUpdate.declarations &&
       aUpdate.declarations->version > ConfigurationVersion()) {
     m_configuration =
       std::make_shared<const core::Configuration>(*aUpdate.declarations);
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("configuration_in_force")
         .Add("version", m_configuration->Version())
         .Add("routes", std::uint64_t(m_configuration->All().routes.size()))
@@ -272,12 +274,12 @@
 }
 
 void
-EntryControl::OnRegistryUpdate(const RegistryNews& aUpdate, bool aIsAll)
+EntryControl::OnRegistryUpdate(const RegistryUpdate& aUpdate, bool aIsAll)
 {
   m_registry_cursor = aUpdate.cursor;
-  LogSkippedRows("registry", aUpdate.unread);
+  LogSkippedRows("registry", aUpdate.skipped_rows);
   const core::Instant now = core::RuntimeClock::now();
-  if (!aUpdate.is_recalled) {
+  if (!aUpdate.is_from_cache) {
     m_book.OnAnswer(now);
   }
   bool changed = !m_registry_read;
@@ -299,7 +301,7 @@
 }
 
 void
-EntryControl::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
+EntryControl::OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll)
 {
   m_deadlines.OnSharedUpdate(aUpdate, aIsAll);
   m_rollout.OnSharedUpdate(aUpdate, aIsAll);
@@ -361,9 +363,9 @@
       co_await m_platform.shared->Put(
         std::move(key), write->value, write->expected_version);
     } catch (const PlatformError& error) {
-      DecisionLog::WriteAlways(LogLine("instance_row_unwritten")
-                                 .Add("instance", write->id)
-                                 .Add("why", error.what()));
+      DecisionLog::WriteUnthrottled(LogLine("instance_row_unwritten")
+                                      .Add("instance", write->id)
+                                      .Add("why", error.what()));
     }
   }
 }
@@ -377,10 +379,11 @@
   for (const core::RegisteredTarget& target : targets) {
     leaving += target.leaving ? 1 : 0;
   }
-  DecisionLog::WriteAlways(LogLine("targets_changed")
-                             .Add("targets", std::uint64_t(targets.size()))
-                             .Add("leaving", std::uint64_t(leaving))
-                             .Add("lapsed", std::uint64_t(m_book.Lapsed())));
+  DecisionLog::WriteUnthrottled(
+    LogLine("targets_changed")
+      .Add("targets", std::uint64_t(targets.size()))
+      .Add("leaving", std::uint64_t(leaving))
+      .Add("lapsed", std::uint64_t(m_book.ExpiredCount())));
   m_rollout.SetTargets(targets);
   m_forwarder.SetTargets(std::move(targets));
 }
--- a/src/jujubehead/node/control/entry_control.hpp
+++ b/src/jujubehead/node/control/entry_control.hpp
@@ -9,18 +9,18 @@
 #include <boost/asio/awaitable.hpp>  // for awaitable
 #include <boost/asio/io_context.hpp> // for io_context
 
-#include "jujubehead/core/membership/instance_book.hpp" // for InstanceBook
-#include "jujubehead/core/membership/store_paths.hpp"   // for StorePaths
-#include "jujubehead/core/routing/target_book.hpp"      // for TargetBook
+#include "jujubehead/core/membership/instance_directory.hpp" // for InstanceDirectory
+#include "jujubehead/core/membership/store_paths.hpp"        // for StorePaths
+#include "jujubehead/core/routing/target_directory.hpp" // for TargetDirectory
 #include "jujubehead/node/control/platform.hpp"         // for Platform
 #include "jujubehead/node/forward/entry_options.hpp"    // for EntryOptions
 
 #include "../forward/forwarder.hpp" // for Forwarder
+#include "block_reclaimer.hpp"      // for BlockReclaimer
 #include "hub_exchange.hpp"         // for HubExchange
-#include "store_keeper.hpp"         // for BlockReclaimer
+#include "rollout_coordinator.hpp"  // for RolloutCoordinator
 #include "store_watch.hpp"          // for StoreWatch
 #include "weights_deadlines.hpp"    // for WeightsDeadlines
-#include "weights_giver.hpp"        // for RolloutController
 
 namespace jujubehead::node {
 
@@ -45,7 +45,7 @@
   /// @return the version of the active declarations; 0 before the first.
   [[nodiscard]] std::uint64_t ConfigurationVersion() const;
   /// @return the rows read from the operators' store.
-  [[nodiscard]] KnownRows& Known() const { return *m_platform.known; }
+  [[nodiscard]] RowCache& CachedRows() const { return *m_platform.row_cache; }
   /// @return the exchange that answers polls of other instances.
   [[nodiscard]] HubExchange& Hubs() { return m_hubs; }
   [[nodiscard]] std::size_t Targets() const { return m_target_count; }
@@ -61,9 +61,9 @@
   }
 
 private:
-  void OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll);
-  void OnRegistryUpdate(const RegistryNews& aUpdate, bool aIsAll);
-  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
+  void OnOperatorUpdate(const OperatorUpdate& aUpdate, bool aIsAll);
+  void OnRegistryUpdate(const RegistryUpdate& aUpdate, bool aIsAll);
+  void OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll);
   void SetInstances();
   /// @return true once this instance either watches the operators' store itself
   /// or receives its rows from a hub.
@@ -81,16 +81,16 @@
   Platform m_platform;
   core::StorePaths& m_paths;
   Forwarder& m_forwarder;
-  core::InstanceBook m_instances;
+  core::InstanceDirectory m_instances;
   core::HubRole m_role;
   std::shared_ptr<const core::Configuration> m_configuration;
-  core::TargetBook m_book;
+  core::TargetDirectory m_book;
   bool m_registry_read = false;
   std::uint64_t m_operator_cursor = 0;
   std::uint64_t m_registry_cursor = 0;
   std::size_t m_target_count = 0;
   WeightsDeadlines m_deadlines;
-  RolloutController m_rollout;
+  RolloutCoordinator m_rollout;
   BlockReclaimer m_reclaimer;
   StoreWatch m_stores;
   HubExchange m_hubs;
--- a/src/jujubehead/node/control/follow.hpp
+++ b/src/jujubehead/node/control/follow.hpp
@@ -42,7 +42,7 @@
   /// @param aIsAll whether it is a full snapshot, not only the changes.
   std::function<void(const Update& aUpdate, bool aIsAll)> on_update;
   /// A read failed.
-  std::function<void(PlatformFault aWhy)> on_silence = [](PlatformFault) {};
+  std::function<void(PlatformFault aWhy)> on_failure = [](PlatformFault) {};
 };
 
 /// @return a random delay before a retry, so that instances do not retry a
@@ -107,9 +107,9 @@
       }
       if (is_lost) {
         is_lost = false;
-        DecisionLog::WriteAlways(LogLine("feed_regained")
-                                   .Add("feed", aOptions.name)
-                                   .Add("cursor", update.cursor));
+        DecisionLog::WriteUnthrottled(LogLine("feed_regained")
+                                        .Add("feed", aOptions.name)
+                                        .Add("cursor", update.cursor));
       }
       if (update.cursor >= newest) {
         newest = update.cursor;
@@ -139,12 +139,12 @@
     }
     if (!is_lost) {
       is_lost = true;
-      DecisionLog::WriteAlways(LogLine("feed_lost")
-                                 .Add("feed", aOptions.name)
-                                 .Add("cursor", newest)
-                                 .Add("why", why));
+      DecisionLog::WriteUnthrottled(LogLine("feed_lost")
+                                      .Add("feed", aOptions.name)
+                                      .Add("cursor", newest)
+                                      .Add("why", why));
     }
-    aHooks.on_silence(*fault);
+    aHooks.on_failure(*fault);
     const core::Duration pause = JitteredRetryDelay();
     co_await net::Sleep(pause);
   }
--- a/src/jujubehead/node/control/hub_exchange.cpp
+++ b/src/jujubehead/node/control/hub_exchange.cpp
@@ -9,10 +9,10 @@
 #include <boost/asio/detached.hpp>      // for detached
 #include <boost/asio/use_awaitable.hpp> // for use_awaitable
 
-#include "jujubehead/core/membership/hub_choice.hpp" // for HubChoice
-#include "jujubehead/net/random_text.hpp"            // for RandomText
-#include "jujubehead/net/timer.hpp"                  // for Sleep
-#include "jujubehead/node/control/platform.hpp"      // for PlatformError
+#include "jujubehead/core/membership/hub_selector.hpp" // for HubSelector
+#include "jujubehead/net/random_text.hpp"              // for RandomText
+#include "jujubehead/net/timer.hpp"                    // for Sleep
+#include "jujubehead/node/control/platform.hpp"        // for PlatformError
 
 #include "../forward/decision_log.hpp" // for DecisionLog
 #include "follow.hpp"                  // for RoleCheckInterval
@@ -55,7 +55,7 @@
 HubExchange::HubExchange(asio::io_context& aContext,
                          const core::HubRole& aRole,
                          StoreWatch& aStores,
-                         KnownRows& aRows,
+                         RowCache& aRows,
                          core::StorePaths& aPaths,
                          HubHooks aHooks)
   : m_context(aContext)
@@ -78,7 +78,7 @@
 asio::awaitable<void>
 HubExchange::FollowHubs()
 {
-  core::HubChoice choice;
+  core::HubSelector choice;
   for (;;) {
     if (m_role.IsHub()) {
       if (m_role.HasFollowers()) {
@@ -101,14 +101,14 @@
       pause = has_more ? core::Duration(0) : kHubPollInterval;
     } catch (const net::HttpCallError& error) {
       why = error.what();
-      failure =
-        error.Dispatched() ? core::HubFailure::kLate : core::HubFailure::kGone;
+      failure = error.Dispatched() ? core::HubFailure::kTimeout
+                                   : core::HubFailure::kNotServing;
     } catch (const std::exception& error) {
       why = error.what();
-      failure = core::HubFailure::kGone;
+      failure = core::HubFailure::kNotServing;
     }
     if (failure) {
-      DecisionLog::WriteAlways(
+      DecisionLog::WriteUnthrottled(
         LogLine("hub_failed").Add("hub", hub.id).Add("why", why));
       pause = choice.OnFailure(*failure, m_jitter(m_random));
     }
@@ -118,13 +118,13 @@
   }
 }
 
-asio::awaitable<std::vector<core::HeardLoad>>
-HubExchange::ExchangeLoads(std::vector<core::HeardLoad> aReported)
+asio::awaitable<std::vector<core::TargetLoadReport>>
+HubExchange::ExchangeLoads(std::vector<core::TargetLoadReport> aReported)
 {
-  std::vector<core::HeardLoad> own;
+  std::vector<core::TargetLoadReport> own;
   net::Timer replied(m_context, core::Instant::max());
   m_hooks.exchange_loads(std::move(aReported),
-                         [&](std::vector<core::HeardLoad> aOwn) {
+                         [&](std::vector<core::TargetLoadReport> aOwn) {
                            own = std::move(aOwn);
                            replied.cancel();
                          });
@@ -137,14 +137,15 @@
 HubExchange::SyncOwnLoads()
 {
   const auto busiest = m_loads.Busiest(core::RuntimeClock::now());
-  const std::vector<core::HeardLoad> own = co_await ExchangeLoads(busiest);
-  for (const core::HeardLoad& load : own) {
+  const std::vector<core::TargetLoadReport> own =
+    co_await ExchangeLoads(busiest);
+  for (const core::TargetLoadReport& load : own) {
     OnReported(load);
   }
 }
 
 void
-HubExchange::OnReported(const core::HeardLoad& aLoad)
+HubExchange::OnReported(const core::TargetLoadReport& aLoad)
 {
   m_loads.Put(aLoad);
   m_unsent_loads.Put(aLoad);
@@ -154,7 +155,8 @@
 HubExchange::ForwardLoads()
 {
   const core::Instant now = core::RuntimeClock::now();
-  const std::vector<core::HeardLoad> loads = m_unsent_loads.TakeBusiest(now);
+  const std::vector<core::TargetLoadReport> loads =
+    m_unsent_loads.TakeBusiest(now);
   if (loads.empty()) {
     return;
   }
@@ -188,7 +190,7 @@
 asio::awaitable<bool>
 HubExchange::PollHub(core::KnownInstance aHub, Cursor& aCursor)
 {
-  std::vector<core::HeardLoad> own = co_await ExchangeLoads({});
+  std::vector<core::TargetLoadReport> own = co_await ExchangeLoads({});
   own.insert(own.end(), m_pending_loads.begin(), m_pending_loads.end());
   m_pending_loads.clear();
   net::HttpCall call;
@@ -197,7 +199,7 @@
   if (aCursor.supports_loads) {
     call.body = LoadsToBytes(own, core::RuntimeClock::now());
   }
-  call.target = std::string(kHubNewsPath) + "?form=" + kLoadsEncoding +
+  call.target = std::string(kHubUpdatesPath) + "?form=" + kLoadsEncoding +
                 "&start=" + aCursor.start +
                 "&after=" + std::to_string(aCursor.parts.next) +
                 "&since=" + std::to_string(aCursor.parts.since) +
@@ -216,15 +218,15 @@
   aCursor.parts = update.parts.cursor;
   aCursor.supports_loads = update.has_loads;
   m_pending_loads = co_await ExchangeLoads(std::move(update.loads));
-  m_stores.TakeNews(update.parts, update.clock_ms, requested_at);
+  m_stores.ApplyUpdate(update.parts, update.clock_ms, requested_at);
   if (update.rows) {
     const core::Instant as_of = requested_at - update.rows->age;
     const bool has_unread =
-      m_rows.TakeNews(update.rows->bytes, as_of, requested_at);
+      m_rows.ApplyUpdate(update.rows->bytes, as_of, requested_at);
     if (!has_unread) {
-      m_hooks.on_heard(as_of);
+      m_hooks.on_synced(as_of);
     }
-    m_paths.OnFed(core::RuntimeClock::now() + kHubRowsLifetime);
+    m_paths.OnHubFeed(core::RuntimeClock::now() + kHubRowsLifetime);
   }
   co_return update.parts.has_more;
 }
@@ -235,7 +237,8 @@
   const core::Instant now = core::RuntimeClock::now();
   const bool has_loads = aRequest.Query("form") == kLoadsEncoding;
   if (has_loads) {
-    for (const core::HeardLoad& load : LoadsFromBytes(aRequest.body, now)) {
+    for (const core::TargetLoadReport& load :
+         LoadsFromBytes(aRequest.body, now)) {
       OnReported(load);
     }
   }
@@ -251,7 +254,7 @@
   update.loads = m_loads.Busiest(now);
   update.parts = m_stores.Log().ReadAfter(cursor, now);
   update.clock_ms = m_stores.ClockMs(now);
-  update.rows = m_rows.NewsAfter(aRequest.Query("rows").value_or(""), now);
+  update.rows = m_rows.UpdateSince(aRequest.Query("rows").value_or(""), now);
   if (update.rows && update.rows->age > kMaxRowAge) {
     update.rows.reset();
   }
@@ -281,7 +284,7 @@
   if (!m_role.IsHub()) {
     response.status = kUnavailable;
   } else {
-    for (const core::HeardLoad& load :
+    for (const core::TargetLoadReport& load :
          LoadsFromBytes(aExchange.Request().body, now)) {
       m_loads.Put(load);
     }
--- a/src/jujubehead/node/control/hub_exchange.hpp
+++ b/src/jujubehead/node/control/hub_exchange.hpp
@@ -16,18 +16,18 @@
 
 #include "jujubehead/core/membership/hubs.hpp"        // for HubRole
 #include "jujubehead/core/membership/store_paths.hpp" // for StorePaths
-#include "jujubehead/core/routing/load_news.hpp"      // for LoadNews
+#include "jujubehead/core/routing/load_reports.hpp"   // for LoadReports
 #include "jujubehead/net/http_client.hpp"             // for HttpClient
 #include "jujubehead/net/http_server.hpp"             // for HttpExchange
-#include "jujubehead/node/control/known_rows.hpp"     // for KnownRows
+#include "jujubehead/node/control/row_cache.hpp"      // for RowCache
 
-#include "hub_news_codec.hpp" // for HubUpdate
-#include "store_watch.hpp"    // for StoreWatch
+#include "hub_update_codec.hpp" // for HubUpdate
+#include "store_watch.hpp"      // for StoreWatch
 
 namespace jujubehead::node {
 
 /// Path of the request by which an instance polls a hub.
-inline constexpr std::string_view kHubNewsPath = "/hub-news";
+inline constexpr std::string_view kHubUpdatesPath = "/hub-news";
 /// Path of the request by which a hub sends target loads to another hub.
 inline constexpr std::string_view kHubLoadsPath = "/hub-loads";
 
@@ -35,11 +35,12 @@
 struct HubHooks
 {
   /// All rows of the operators' store as of that time, or later, were read.
-  std::function<void(core::Instant aAsOf)> on_heard;
+  std::function<void(core::Instant aAsOf)> on_synced;
   /// Takes target loads received from others and returns this instance's own
   /// through the callback: on the same thread, possibly later.
-  std::function<void(std::vector<core::HeardLoad> aReported,
-                     std::function<void(std::vector<core::HeardLoad>)> aReply)>
+  std::function<void(
+    std::vector<core::TargetLoadReport> aReported,
+    std::function<void(std::vector<core::TargetLoadReport>)> aReply)>
     exchange_loads;
 };
 
@@ -61,12 +62,12 @@
   HubExchange(boost::asio::io_context& aContext,
               const core::HubRole& aRole,
               StoreWatch& aStores,
-              KnownRows& aRows,
+              RowCache& aRows,
               core::StorePaths& aPaths,
               HubHooks aHooks);
 
   void Start();
-  /// @brief Answers a kHubNewsPath request of another instance.
+  /// @brief Answers a kHubUpdatesPath request of another instance.
   boost::asio::awaitable<void> Handle(net::HttpExchange& aExchange);
   /// @brief Answers a kHubLoadsPath request of another hub.
   boost::asio::awaitable<void> HandleLoads(net::HttpExchange& aExchange);
@@ -91,24 +92,25 @@
   boost::asio::awaitable<void> SendLoads(core::KnownInstance aHub,
                                          std::string aLoads);
   /// @brief A load was reported by this instance or by one that polls it.
-  void OnReported(const core::HeardLoad& aLoad);
-  boost::asio::awaitable<std::vector<core::HeardLoad>> ExchangeLoads(
-    std::vector<core::HeardLoad> aReported);
+  void OnReported(const core::TargetLoadReport& aLoad);
+  boost::asio::awaitable<std::vector<core::TargetLoadReport>> ExchangeLoads(
+    std::vector<core::TargetLoadReport> aReported);
   [[nodiscard]] HubUpdate UpdateFor(const net::HttpRequest& aRequest);
 
   boost::asio::io_context& m_context;
   const core::HubRole& m_role;
   StoreWatch& m_stores;
-  KnownRows& m_rows;
+  RowCache& m_rows;
   core::StorePaths& m_paths;
   HubHooks m_hooks;
-  std::vector<core::HeardLoad> m_pending_loads; ///< Own, for the next poll.
+  std::vector<core::TargetLoadReport>
+    m_pending_loads; ///< Own, for the next poll.
   /// By hub id, so that polling a hub again resumes where it stopped.
   std::map<std::string, Cursor> m_cursors;
   std::minstd_rand m_random{ std::random_device{}() };
   std::uniform_real_distribution<> m_jitter{ 0, 1 };
-  core::LoadNews m_loads;        ///< Reported to this instance as a hub.
-  core::LoadNews m_unsent_loads; ///< Of these, not yet sent to other hubs.
+  core::LoadReports m_loads;        ///< Reported to this instance as a hub.
+  core::LoadReports m_unsent_loads; ///< Of these, not yet sent to other hubs.
   std::set<std::string> m_pending_hubs; ///< Ids of hubs with a pending request.
   std::string m_start;                  ///< Identifies this run of the process.
   std::unique_ptr<net::HttpClient> m_client;
--- a/src/jujubehead/node/control/hub_news_codec.cpp
+++ b/src/jujubehead/node/control/hub_update_codec.cpp
@@ -1,4 +1,4 @@
-#include "hub_news_codec.hpp"
+#include "hub_update_codec.hpp"
 
 #include <algorithm>   // for clamp, min
 #include <chrono>      // for duration_cast
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 /// Array indices; arrays replace objects to keep the message small.
-enum StoreIndex : std::size_t
+enum StoreField : std::size_t
 {
   kId,
   kEpoch,
@@ -37,7 +37,7 @@
 constexpr std::uint32_t kGoneMark = 255;
 constexpr core::Duration kAgeUnit = std::chrono::milliseconds(10);
 
-enum ChangeIndex : std::size_t
+enum ChangeField : std::size_t
 {
   kStore, ///< Its index among the stores.
   kScope, ///< Its index among the scopes.
@@ -65,25 +65,25 @@
 
 /// Running requests, capped so that no count equals kGoneMark.
 std::uint32_t
-RunningByte(const core::HeardLoad& aLoad)
+RunningByte(const core::TargetLoadReport& aLoad)
 {
   return aLoad.is_gone ? kGoneMark
                        : std::min(aLoad.load.running, kGoneMark - 1);
 }
 
-core::HeardLoad
+core::TargetLoadReport
 LoadAt(std::string_view aBytes, core::Instant aSentAt)
 {
   std::uint32_t key = 0;
   for (std::size_t i = 0; i < sizeof(key); ++i) {
     key |= FromByte(aBytes[i]) << (i * kByteBits);
   }
-  core::HeardLoad result;
+  core::TargetLoadReport result;
   result.target = static_cast<core::TargetKey>(key);
   result.load.running = FromByte(aBytes[kRunning]);
   result.load.waiting = FromByte(aBytes[kWaiting]);
   result.load.slots = FromByte(aBytes[kSlots]);
-  result.heard = aSentAt - FromByte(aBytes[kLoadAge]) * kAgeUnit;
+  result.reported_at = aSentAt - FromByte(aBytes[kLoadAge]) * kAgeUnit;
   result.is_gone = result.load.running == kGoneMark;
   return result;
 }
@@ -91,11 +91,12 @@
 } // namespace
 
 std::string
-LoadsToBytes(const std::vector<core::HeardLoad>& aLoads, core::Instant aNow)
+LoadsToBytes(const std::vector<core::TargetLoadReport>& aLoads,
+             core::Instant aNow)
 {
   std::string bytes;
   bytes.reserve(aLoads.size() * kLoadBytes);
-  for (const core::HeardLoad& one : aLoads) {
+  for (const core::TargetLoadReport& one : aLoads) {
     const auto key = static_cast<std::uint32_t>(one.target);
     for (std::size_t i = 0; i < sizeof(key); ++i) {
       bytes += ToByte((key >> (i * kByteBits)) & kMaxByte);
@@ -103,19 +104,19 @@
     bytes += ToByte(RunningByte(one));
     bytes += ToByte(one.load.waiting);
     bytes += ToByte(one.load.slots);
-    bytes += ToByte((aNow - one.heard) / kAgeUnit + 1);
+    bytes += ToByte((aNow - one.reported_at) / kAgeUnit + 1);
   }
   return bytes;
 }
 
-std::vector<core::HeardLoad>
+std::vector<core::TargetLoadReport>
 LoadsFromBytes(std::string_view aBytes, core::Instant aSentAt)
 {
   if (aBytes.size() % kLoadBytes != 0) {
     throw std::invalid_argument(
       "size of the loads is not a multiple of the entry size");
   }
-  std::vector<core::HeardLoad> loads;
+  std::vector<core::TargetLoadReport> loads;
   loads.reserve(aBytes.size() / kLoadBytes);
   for (std::size_t at = 0; at < aBytes.size(); at += kLoadBytes) {
     loads.push_back(LoadAt(aBytes.substr(at, kLoadBytes), aSentAt));
@@ -128,7 +129,7 @@
 {
   json stores = json::array();
   std::map<core::StoreId, std::size_t> places;
-  for (const core::HeardStore& store : aUpdate.parts.stores) {
+  for (const core::StoreStatus& store : aUpdate.parts.stores) {
     places.emplace(store.store, stores.size());
     // Rounded up, so that data never appears newer than it is.
     stores.push_back(json::array(
@@ -150,7 +151,7 @@
                    { "next", aUpdate.parts.cursor.next },
                    { "since", aUpdate.parts.cursor.since },
                    { "more", aUpdate.parts.has_more },
-                   { "all", aUpdate.parts.is_all },
+                   { "all", aUpdate.parts.is_snapshot },
                    { "stores", std::move(stores) },
                    { "scopes", std::move(scopes) },
                    { "changes", std::move(changes) } };
@@ -180,14 +181,14 @@
   result.parts.cursor.next = message.at("next").get<std::uint64_t>();
   result.parts.cursor.since = message.at("since").get<std::uint64_t>();
   result.parts.has_more = message.at("more").get<bool>();
-  result.parts.is_all = message.at("all").get<bool>();
+  result.parts.is_snapshot = message.at("all").get<bool>();
   if (const auto clock = message.find("clock"); clock != message.end()) {
     result.clock_ms = clock->get<std::int64_t>();
   }
   if (const auto rows = message.find("rows"); rows != message.end()) {
     const auto age = message.at("rows_age").get<std::int64_t>();
     result.rows =
-      RowNews{ rows->get<std::string>(), std::chrono::milliseconds(age) };
+      RowUpdate{ rows->get<std::string>(), std::chrono::milliseconds(age) };
   }
   // An older version sends another encoding.
   const json& loads = message.at("loads");
--- a/src/jujubehead/node/control/hub_news_codec.hpp
+++ b/src/jujubehead/node/control/hub_update_codec.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_NODE_CONTROL_HUB_NEWS_CODEC_HPP
-#define JUJUBEHEAD_NODE_CONTROL_HUB_NEWS_CODEC_HPP
+#ifndef JUJUBEHEAD_NODE_CONTROL_HUB_UPDATE_CODEC_HPP
+#define JUJUBEHEAD_NODE_CONTROL_HUB_UPDATE_CODEC_HPP
 
 #include <cstdint>     // for int64_t
 #include <optional>    // for optional
@@ -7,9 +7,9 @@
 #include <string_view> // for string_view
 #include <vector>      // for vector
 
-#include "jujubehead/core/context/part_log.hpp"   // for PartNews
-#include "jujubehead/core/routing/load_news.hpp"  // for HeardLoad
-#include "jujubehead/node/control/known_rows.hpp" // for RowNews
+#include "jujubehead/core/context/part_log.hpp"     // for PartLogPage
+#include "jujubehead/core/routing/load_reports.hpp" // for TargetLoadReport
+#include "jujubehead/node/control/row_cache.hpp"    // for RowUpdate
 
 namespace jujubehead::node {
 
@@ -18,22 +18,23 @@
 {
   /// Identifies the hub's run; cursors from another run are not valid in it.
   std::string start;
-  core::PartNews parts;
+  core::PartLogPage parts;
   /// Clock of targets and stores at the time of sending, in ms.
   std::optional<std::int64_t> clock_ms;
-  std::vector<core::HeardLoad> loads; ///< Of the busiest targets.
+  std::vector<core::TargetLoadReport> loads; ///< Of the busiest targets.
   /// Whether both sides support the current loads encoding.
   bool has_loads = false;
   /// Of the operators' store; empty while the hub cannot reach it.
-  std::optional<RowNews> rows;
+  std::optional<RowUpdate> rows;
 };
 
 /// @brief Encodes loads with their ages in eight bytes each, and decodes them.
 /// Counts saturate at 255, ages at 2.5 s.
 /// @throws std::exception on malformed bytes.
 std::string
-LoadsToBytes(const std::vector<core::HeardLoad>& aLoads, core::Instant aNow);
-std::vector<core::HeardLoad>
+LoadsToBytes(const std::vector<core::TargetLoadReport>& aLoads,
+             core::Instant aNow);
+std::vector<core::TargetLoadReport>
 LoadsFromBytes(std::string_view aBytes, core::Instant aSentAt);
 
 /// @brief Encodes the message as CBOR, and decodes it.
@@ -46,4 +47,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_CONTROL_HUB_NEWS_CODEC_HPP
+#endif // JUJUBEHEAD_NODE_CONTROL_HUB_UPDATE_CODEC_HPP
--- a/src/jujubehead/node/control/hub_news_codec_test.cpp
+++ b/src/jujubehead/node/control/hub_update_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "hub_news_codec.hpp"
+#include "hub_update_codec.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -21,7 +21,7 @@
     message.parts.cursor = { 42, 40 };
     message.parts.has_more = true;
     message.parts.stores = {
-      { core::StoreId("s1"), 7, core::kSilentAge },
+      { core::StoreId("s1"), 7, core::kUnreachableAge },
       { core::StoreId("s2"), 8, std::chrono::milliseconds(30) }
     };
     message.parts.changes = { { core::StoreId("s2"), "w1", "a", 800 },
@@ -32,8 +32,8 @@
     message.loads = { { core::KeyOf(core::TargetId("t1")),
                         { 12, 3, 12 },
                         kNow - std::chrono::milliseconds(40) } };
-    message.rows = node::RowNews{ std::string("\xff\x00rows", 6),
-                                  std::chrono::milliseconds(70) };
+    message.rows = node::RowUpdate{ std::string("\xff\x00rows", 6),
+                                    std::chrono::milliseconds(70) };
   }
 };
 
@@ -45,12 +45,12 @@
   LONGS_EQUAL(42, back.parts.cursor.next);
   LONGS_EQUAL(40, back.parts.cursor.since);
   CHECK(back.parts.has_more);
-  CHECK_FALSE(back.parts.is_all);
+  CHECK_FALSE(back.parts.is_snapshot);
   LONGS_EQUAL(123456, *back.clock_ms);
   LONGS_EQUAL(8, back.parts.stores.at(1).epoch);
   LONGS_EQUAL(6, back.rows->bytes.size());
   LONGS_EQUAL(3, back.loads.at(0).load.waiting);
-  CHECK(back.loads.at(0).heard <= message.loads.at(0).heard);
+  CHECK(back.loads.at(0).reported_at <= message.loads.at(0).reported_at);
   CHECK(back.rows->age >= message.rows->age);
   // Ages are rounded up.
   CHECK(back.parts.stores.at(1).age >= message.parts.stores.at(1).age);
@@ -77,17 +77,18 @@
 
 TEST(HubUpdateCodec, LoadTakesEightBytesAndCountsSaturate)
 {
-  core::HeardLoad full{ core::KeyOf(core::TargetId("t2")),
-                        { 4000, 4000, 4000 },
-                        kNow - std::chrono::hours(1) };
-  const core::HeardLoad gone = core::GoneTarget(core::TargetId("t3"), kNow);
+  core::TargetLoadReport full{ core::KeyOf(core::TargetId("t2")),
+                               { 4000, 4000, 4000 },
+                               kNow - std::chrono::hours(1) };
+  const core::TargetLoadReport gone =
+    core::GoneTargetReport(core::TargetId("t3"), kNow);
   const std::string bytes = node::LoadsToBytes({ full, gone }, kNow);
   LONGS_EQUAL(16, bytes.size());
   const auto back = node::LoadsFromBytes(bytes, kNow);
   CHECK(back.at(0).target == full.target);
   LONGS_EQUAL(254, back.at(0).load.running);
   LONGS_EQUAL(255, back.at(0).load.waiting);
-  CHECK(back.at(0).heard == kNow - std::chrono::milliseconds(2550));
+  CHECK(back.at(0).reported_at == kNow - std::chrono::milliseconds(2550));
   CHECK_FALSE(back.at(0).is_gone);
   CHECK(back.at(1).is_gone && back.at(1).target == gone.target);
 }
--- a/src/jujubehead/node/control/weights_giver.cpp
+++ b/src/jujubehead/node/control/rollout_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "weights_giver.hpp"
+#include "rollout_coordinator.hpp"
 
 #include <algorithm> // for any_of, max
 #include <utility>   // for move
@@ -48,10 +48,10 @@
 /// whenever a target starts or finishes.
 constexpr core::Duration kRemoteStateLifetime = std::chrono::seconds(3);
 
-core::OrderLeaseOptions
+core::CoordinatorLeaseOptions
 LeaseOptions(const EntryOptions& aOptions)
 {
-  core::OrderLeaseOptions options;
+  core::CoordinatorLeaseOptions options;
   options.gap = aOptions.lease_time;
   return options;
 }
@@ -69,12 +69,12 @@
 
 } // namespace
 
-RolloutController::RolloutController(asio::io_context& aContext,
-                                     const EntryOptions& aOptions,
-                                     SharedRows& aShared,
-                                     TargetOrders& aOrders,
-                                     const core::RemoteClock& aStoreClock,
-                                     Forwarder& aForwarder)
+RolloutCoordinator::RolloutCoordinator(asio::io_context& aContext,
+                                       const EntryOptions& aOptions,
+                                       SharedRows& aShared,
+                                       TargetOrders& aOrders,
+                                       const core::RemoteClock& aStoreClock,
+                                       Forwarder& aForwarder)
   : m_context(aContext)
   , m_shared(aShared)
   , m_orders(aOrders)
@@ -87,40 +87,40 @@
 }
 
 void
-RolloutController::Start()
+RolloutCoordinator::Start()
 {
   asio::co_spawn(m_context, Run(), asio::detached);
 }
 
 bool
-RolloutController::HoldsLease() const
+RolloutCoordinator::HoldsLease() const
 {
   return m_lease.Holds(core::RuntimeClock::now());
 }
 
 void
-RolloutController::SetWanted(
-  std::map<core::ModelId, core::WantedWeights> aWanted)
+RolloutCoordinator::SetWanted(
+  std::map<core::ModelId, core::DesiredWeights> aWanted)
 {
   m_wanted = std::move(aWanted);
   Wake();
 }
 
 void
-RolloutController::SetTargets(std::vector<core::RegisteredTarget> aTargets)
+RolloutCoordinator::SetTargets(std::vector<core::RegisteredTarget> aTargets)
 {
   m_targets = std::move(aTargets);
   Wake();
 }
 
 void
-RolloutController::Wake()
+RolloutCoordinator::Wake()
 {
   m_wake.cancel();
 }
 
 void
-RolloutController::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
+RolloutCoordinator::OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll)
 {
   const core::Instant now = core::RuntimeClock::now();
   bool has_lease = false;
@@ -140,17 +140,18 @@
 }
 
 void
-RolloutController::ReadLease(const SharedRow& aRow)
+RolloutCoordinator::ReadLease(const SharedRow& aRow)
 {
   const core::LeaseRow lease = core::LeaseRowOf(aRow.value.value_or(""));
   const core::Instant now = core::RuntimeClock::now();
   const std::optional<core::Instant> begun =
-    lease.begun ? m_store_clock.LatestOf(*lease.begun, now) : std::nullopt;
+    lease.begun ? m_store_clock.LatestTimeOf(*lease.begun, now) : std::nullopt;
   m_lease.OnRow(lease.holder, aRow.version, now, begun);
 }
 
 void
-RolloutController::ReadState(const core::ModelId& aModel, const SharedRow& aRow)
+RolloutCoordinator::ReadState(const core::ModelId& aModel,
+                              const SharedRow& aRow)
 {
   Rollout& rollout = m_rollouts[aModel];
   if (aRow.version <= rollout.row_version) {
@@ -166,19 +167,19 @@
 }
 
 void
-RolloutController::OnLoaded(const core::ModelId& aModel,
-                            const core::TargetId& aTarget,
-                            std::uint64_t aVersion)
+RolloutCoordinator::OnLoaded(const core::ModelId& aModel,
+                             const core::TargetId& aTarget,
+                             std::uint64_t aVersion)
 {
   std::uint64_t& known = m_rollouts[aModel].loaded[aTarget];
   if (aVersion > known) {
     known = aVersion;
-    m_forwarder.SetLoaded(aTarget, { aModel, aVersion });
+    m_forwarder.OnWeightsLoaded(aTarget, { aModel, aVersion });
   }
 }
 
 void
-RolloutController::PublishLoading()
+RolloutCoordinator::PublishLoading()
 {
   const core::Instant now = core::RuntimeClock::now();
   std::set<core::TargetId> loading;
@@ -196,7 +197,7 @@
 }
 
 std::vector<core::RolloutTarget>
-RolloutController::TargetsOf(const core::ModelId& aModel) const
+RolloutCoordinator::TargetsOf(const core::ModelId& aModel) const
 {
   std::vector<core::RolloutTarget> targets;
   const auto found = m_rollouts.find(aModel);
@@ -228,7 +229,7 @@
 }
 
 bool
-RolloutController::HasWork() const
+RolloutCoordinator::HasWork() const
 {
   return std::any_of(
     m_wanted.begin(), m_wanted.end(), [&](const auto& aWanted) {
@@ -241,7 +242,7 @@
 }
 
 asio::awaitable<void>
-RolloutController::Run()
+RolloutCoordinator::Run()
 {
   constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
   for (;;) {
@@ -253,7 +254,7 @@
       try {
         co_await RunStep();
       } catch (const PlatformError& error) {
-        DecisionLog::WriteAlways(
+        DecisionLog::WriteUnthrottled(
           LogLine("orders_lease_unwritten").Add("why", error.what()));
       }
     }
@@ -261,11 +262,12 @@
 }
 
 asio::awaitable<bool>
-RolloutController::WriteLease()
+RolloutCoordinator::WriteLease()
 {
   const core::Instant started = core::RuntimeClock::now();
   const bool was_held = m_lease.Holds(started);
-  const core::LeaseRow row{ m_lease.Self(), m_store_clock.MostAt(started) };
+  const core::LeaseRow row{ m_lease.Self(),
+                            m_store_clock.UpperBoundAt(started) };
   std::string key(kLeaseKey);
   const std::optional<std::uint64_t> version = co_await m_shared.Put(
     std::move(key), core::ToText(row), m_lease.RowVersion());
@@ -274,25 +276,25 @@
   }
   m_lease.OnWritten(*version, started);
   if (!was_held) {
-    DecisionLog::WriteAlways(LogLine("orders_lease_taken")
-                               .Add("holder", m_lease.Self())
-                               .Add("token", m_lease.FencingToken()));
+    DecisionLog::WriteUnthrottled(LogLine("orders_lease_taken")
+                                    .Add("holder", m_lease.Self())
+                                    .Add("token", m_lease.FencingToken()));
   }
   co_return true;
 }
 
 asio::awaitable<void>
-RolloutController::RunStep()
+RolloutCoordinator::RunStep()
 {
   const core::Instant now = core::RuntimeClock::now();
-  if (!m_lease.MayTake(now)) {
+  if (!m_lease.MayAcquire(now)) {
     co_return;
   }
   if (m_lease.IsRenewalDue(now)) {
     if (!m_lease.WasLastHolder()) {
       const core::Duration pause = kNonHolderDelay + JitteredRetryDelay();
       co_await net::Sleep(pause);
-      if (!m_lease.MayTake(core::RuntimeClock::now())) {
+      if (!m_lease.MayAcquire(core::RuntimeClock::now())) {
         co_return;
       }
     }
@@ -321,7 +323,7 @@
 }
 
 asio::awaitable<void>
-RolloutController::WriteState(core::ModelId aModel)
+RolloutCoordinator::WriteState(core::ModelId aModel)
 {
   Rollout& rollout = m_rollouts[aModel];
   core::RolloutState state;
@@ -341,14 +343,14 @@
     }
   } catch (const PlatformError& error) {
     // The others then learn it from the targets' refusals and reports.
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("rollout_unwritten").Add("why", error.what()));
   }
 }
 
 asio::awaitable<void>
-RolloutController::LoadTarget(core::ModelId aModel,
-                              core::RegisteredTarget aTarget)
+RolloutCoordinator::LoadTarget(core::ModelId aModel,
+                               core::RegisteredTarget aTarget)
 {
   co_await net::Sleep(kNoticeTime);
   Loading loading;
@@ -360,9 +362,9 @@
     try {
       is_loaded = co_await TryLoad(aModel, aTarget, loading);
     } catch (const PlatformError& error) {
-      DecisionLog::WriteAlways(LogLine("target_unanswered")
-                                 .Add("target", aTarget.id.View())
-                                 .Add("why", error.what()));
+      DecisionLog::WriteUnthrottled(LogLine("target_unanswered")
+                                      .Add("target", aTarget.id.View())
+                                      .Add("why", error.what()));
     }
     if (!is_loaded) {
       co_await net::Sleep(kPollInterval);
@@ -375,7 +377,7 @@
     rollout.not_before[aTarget.id] =
       core::RuntimeClock::now() + kTargetRetryDelay;
   }
-  DecisionLog::WriteAlways(
+  DecisionLog::WriteUnthrottled(
     LogLine(is_loaded ? "weights_loaded" : "weights_not_loaded")
       .Add("target", aTarget.id.View())
       .Add("model", aModel.View())
@@ -388,9 +390,9 @@
 }
 
 bool
-RolloutController::SetUnanswered(const core::ModelId& aModel,
-                                 const core::TargetId& aTarget,
-                                 bool aIsUnanswered)
+RolloutCoordinator::SetUnanswered(const core::ModelId& aModel,
+                                  const core::TargetId& aTarget,
+                                  bool aIsUnanswered)
 {
   Rollout& rollout = m_rollouts[aModel];
   auto& from = aIsUnanswered ? rollout.loading : rollout.unanswered;
@@ -406,10 +408,10 @@
 }
 
 asio::awaitable<std::optional<OrderAnswer>>
-RolloutController::SendOrder(const core::ModelId& aModel,
-                             const core::RegisteredTarget& aTarget,
-                             const WeightsReport& aReport,
-                             Loading& aLoading)
+RolloutCoordinator::SendOrder(const core::ModelId& aModel,
+                              const core::RegisteredTarget& aTarget,
+                              const WeightsReport& aReport,
+                              Loading& aLoading)
 {
   LoadOrder order;
   order.target = aTarget.id;
@@ -425,17 +427,17 @@
       co_await m_orders.Load(aTarget.address, std::move(order));
     co_return answer;
   } catch (const PlatformError& error) {
-    DecisionLog::WriteAlways(LogLine("order_unanswered")
-                               .Add("target", aTarget.id.View())
-                               .Add("why", error.what()));
+    DecisionLog::WriteUnthrottled(LogLine("order_unanswered")
+                                    .Add("target", aTarget.id.View())
+                                    .Add("why", error.what()));
   }
   co_return std::nullopt;
 }
 
 asio::awaitable<bool>
-RolloutController::TryLoad(const core::ModelId& aModel,
-                           const core::RegisteredTarget& aTarget,
-                           Loading& aLoading)
+RolloutCoordinator::TryLoad(const core::ModelId& aModel,
+                            const core::RegisteredTarget& aTarget,
+                            Loading& aLoading)
 {
   const WeightsReport report = co_await m_orders.Report(aTarget.address);
   const std::uint64_t wanted = m_wanted[aModel].Newest();
@@ -466,7 +468,7 @@
     }
     co_return false;
   }
-  if (answer == OrderAnswer::kHolds) {
+  if (answer == OrderAnswer::kAlreadyLoaded) {
     OnLoaded(aModel, aTarget.id, wanted);
     co_return true;
   }
--- a/src/jujubehead/node/control/weights_giver.hpp
+++ b/src/jujubehead/node/control/rollout_coordinator.hpp
@@ -1,5 +1,5 @@
-#ifndef JUJUBEHEAD_NODE_CONTROL_WEIGHTS_GIVER_HPP
-#define JUJUBEHEAD_NODE_CONTROL_WEIGHTS_GIVER_HPP
+#ifndef JUJUBEHEAD_NODE_CONTROL_ROLLOUT_COORDINATOR_HPP
+#define JUJUBEHEAD_NODE_CONTROL_ROLLOUT_COORDINATOR_HPP
 
 #include <map>      // for map
 #include <optional> // for optional
@@ -10,12 +10,12 @@
 #include <boost/asio/awaitable.hpp>  // for awaitable
 #include <boost/asio/io_context.hpp> // for io_context
 
-#include "jujubehead/core/routing/target_book.hpp"   // for RegisteredTarget
-#include "jujubehead/core/weights/order_lease.hpp"   // for OrderLease
-#include "jujubehead/core/weights/rollout.hpp"       // for WantedWeights
-#include "jujubehead/net/timer.hpp"                  // for Timer
-#include "jujubehead/node/control/platform.hpp"      // for SharedRows
-#include "jujubehead/node/forward/entry_options.hpp" // for EntryOptions
+#include "jujubehead/core/routing/target_directory.hpp"  // for RegisteredTarget
+#include "jujubehead/core/weights/coordinator_lease.hpp" // for CoordinatorLease
+#include "jujubehead/core/weights/rollout.hpp"           // for DesiredWeights
+#include "jujubehead/net/timer.hpp"                      // for Timer
+#include "jujubehead/node/control/platform.hpp"          // for SharedRows
+#include "jujubehead/node/forward/entry_options.hpp"     // for EntryOptions
 
 #include "../forward/forwarder.hpp" // for Forwarder
 
@@ -24,22 +24,22 @@
 /// @brief Rolls out new weights to the targets while this instance holds the
 /// lease for orders, and publishes to the traffic thread which targets are
 /// loading, whichever instance ordered it.
-class RolloutController
+class RolloutCoordinator
 {
 public:
-  RolloutController(boost::asio::io_context& aContext,
-                    const EntryOptions& aOptions,
-                    SharedRows& aShared,
-                    TargetOrders& aOrders,
-                    const core::RemoteClock& aStoreClock,
-                    Forwarder& aForwarder);
+  RolloutCoordinator(boost::asio::io_context& aContext,
+                     const EntryOptions& aOptions,
+                     SharedRows& aShared,
+                     TargetOrders& aOrders,
+                     const core::RemoteClock& aStoreClock,
+                     Forwarder& aForwarder);
 
   void Start();
   /// @brief This instance is shutting down.
   void BeginStop() { m_lease.Retire(); }
-  void SetWanted(std::map<core::ModelId, core::WantedWeights> aWanted);
+  void SetWanted(std::map<core::ModelId, core::DesiredWeights> aWanted);
   void SetTargets(std::vector<core::RegisteredTarget> aTargets);
-  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
+  void OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll);
   [[nodiscard]] bool HoldsLease() const;
 
 private:
@@ -99,9 +99,9 @@
   TargetOrders& m_orders;
   const core::RemoteClock& m_store_clock;
   Forwarder& m_forwarder;
-  core::OrderLease m_lease;
+  core::CoordinatorLease m_lease;
   net::Timer m_wake;
-  std::map<core::ModelId, core::WantedWeights> m_wanted;
+  std::map<core::ModelId, core::DesiredWeights> m_wanted;
   std::vector<core::RegisteredTarget> m_targets;
   std::map<core::ModelId, Rollout> m_rollouts;
   std::set<core::TargetId> m_published;
@@ -109,4 +109,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_CONTROL_WEIGHTS_GIVER_HPP
+#endif // JUJUBEHEAD_NODE_CONTROL_ROLLOUT_COORDINATOR_HPP
--- a/src/jujubehead/node/control/store_relay.cpp
+++ b/src/jujubehead/node/control/store_relay.cpp
@@ -27,7 +27,7 @@
 TimeoutFor(const net::HttpRequest& aRequest)
 {
   std::int64_t ms = kDefaultMs;
-  if (const auto header = aRequest.headers.Find(kRelayTimeLine)) {
+  if (const auto header = aRequest.headers.Find(kRelayTimeoutHeader)) {
     std::from_chars(header->data(), header->data() + header->size(), ms);
   }
   return std::chrono::milliseconds(std::clamp(ms, kMinMs, kMaxMs)) -
@@ -38,7 +38,7 @@
 
 StoreRelay::StoreRelay(asio::io_context& aContext,
                        const core::StorePaths& aPaths,
-                       const KnownRows& aKnown)
+                       const RowCache& aKnown)
   : m_client(net::HttpClient::Create(aContext))
   , m_paths(aPaths)
   , m_known(aKnown)
@@ -51,7 +51,7 @@
   std::optional<net::HttpResponse> answer;
   std::string why =
     "the operators' store is not directly reachable from this instance";
-  if (m_paths.IsStraight()) {
+  if (m_paths.IsDirect()) {
     try {
       answer = co_await ForwardToStore(aExchange.Request());
     } catch (const net::HttpCallError& error) {
@@ -62,7 +62,7 @@
   }
   if (!answer) {
     if (!m_was_refused) {
-      DecisionLog::WriteAlways(LogLine("relay_refuses").Add("why", why));
+      DecisionLog::WriteUnthrottled(LogLine("relay_refuses").Add("why", why));
     }
     m_was_refused = true;
     answer.emplace();
@@ -77,7 +77,7 @@
 StoreRelay::ForwardToStore(const net::HttpRequest& aRequest)
 {
   net::HttpCall call;
-  call.authority = m_paths.Straight();
+  call.authority = m_paths.DirectAddress();
   call.method = aRequest.method;
   call.target = aRequest.target;
   if (const auto type = aRequest.headers.Find("Content-Type")) {
--- a/src/jujubehead/node/control/store_watch.cpp
+++ b/src/jujubehead/node/control/store_watch.cpp
@@ -70,7 +70,7 @@
   PollOutcome outcome = PollOutcome::kSilent;
   try {
     core::PartEventPage page = co_await m_calls.Read(
-      aStore.address, aCursor.since, core::WatchWait(aWatchers));
+      aStore.address, aCursor.since, core::WatchTimeout(aWatchers));
     const core::Instant now = core::RuntimeClock::now();
     // A restarted store numbers its events from the start again.
     const bool is_new = page.epoch != aCursor.epoch;
@@ -90,10 +90,10 @@
     why = error.what();
   }
   if (outcome != aCursor.last_outcome) {
-    DecisionLog::WriteAlways(LogLine("store_heard")
-                               .Add("store", aStore.id.View())
-                               .Add("word", NameOf(outcome))
-                               .Add("why", why));
+    DecisionLog::WriteUnthrottled(LogLine("store_heard")
+                                    .Add("store", aStore.id.View())
+                                    .Add("word", NameOf(outcome))
+                                    .Add("why", why));
   }
   aCursor.last_outcome = outcome;
   co_return outcome;
@@ -113,7 +113,7 @@
       co_await net::Sleep(pause);
       continue;
     }
-    const core::Watchers watchers{ m_role.Hubs().size(), aStore.most_watchers };
+    const core::Watchers watchers{ m_role.Hubs().size(), aStore.max_watchers };
     const core::Instant started = core::RuntimeClock::now();
     const PollOutcome outcome = co_await PollStore(aStore, watchers, cursor);
     core::Duration pause =
@@ -122,8 +122,8 @@
       // The store is up, so its last page stays valid for the usual time.
       pause = kBusyRetryFactor * JitteredRetryDelay();
     } else if (outcome == PollOutcome::kSilent) {
-      m_log.OnSilence(aStore.id);
-      m_hooks.on_silence(aStore.id);
+      m_log.OnNoResponse(aStore.id);
+      m_hooks.on_failure(aStore.id);
       pause = JitteredRetryDelay();
     }
     co_await net::Sleep(pause);
@@ -131,22 +131,22 @@
 }
 
 void
-StoreWatch::TakeNews(const core::PartNews& aUpdate,
-                     std::optional<std::int64_t> aClockMs,
-                     core::Instant aSentAt)
+StoreWatch::ApplyUpdate(const core::PartLogPage& aUpdate,
+                        std::optional<std::int64_t> aClockMs,
+                        core::Instant aSentAt)
 {
   std::map<core::StoreId, core::PartEventPage> pages;
-  for (const core::HeardStore& store : aUpdate.stores) {
+  for (const core::StoreStatus& store : aUpdate.stores) {
     core::PartEventPage& page = pages[store.store];
     page.epoch = store.epoch;
-    page.is_all = aUpdate.is_all;
+    page.is_snapshot = aUpdate.is_snapshot;
     page.clock_ms = aClockMs;
   }
   for (const core::PartChange& change : aUpdate.changes) {
     pages[change.store].events.push_back(
       { change.scope, change.part, change.tokens, change.tokens > 0 });
   }
-  for (const core::HeardStore& store : aUpdate.stores) {
+  for (const core::StoreStatus& store : aUpdate.stores) {
     m_hooks.on_page(
       store.store, std::move(pages[store.store]), aSentAt - store.age);
   }
--- a/src/jujubehead/node/control/store_watch.hpp
+++ b/src/jujubehead/node/control/store_watch.hpp
@@ -12,7 +12,7 @@
 #include <boost/asio/io_context.hpp> // for io_context
 
 #include "jujubehead/core/context/part_log.hpp"            // for PartLog
-#include "jujubehead/core/context/watch_pace.hpp"          // for Watchers
+#include "jujubehead/core/context/watch_pacing.hpp"        // for Watchers
 #include "jujubehead/core/membership/hubs.hpp"             // for HubRole
 #include "jujubehead/core/routing/configuration.hpp"       // for DeclaredStore
 #include "jujubehead/core/weights/superseded_versions.hpp" // for Superseded...
@@ -30,7 +30,7 @@
                      core::PartEventPage aPage,
                      core::Instant aAsOf)>
     on_page;
-  std::function<void(const core::StoreId& aStore)> on_silence;
+  std::function<void(const core::StoreId& aStore)> on_failure;
 };
 
 /// @brief Tracks which parts of prompts the stores hold.
@@ -56,9 +56,9 @@
   }
   /// @brief Applies an update from a hub.
   /// @param aSentAt assumed time at which the hub sent it.
-  void TakeNews(const core::PartNews& aUpdate,
-                std::optional<std::int64_t> aClockMs,
-                core::Instant aSentAt);
+  void ApplyUpdate(const core::PartLogPage& aUpdate,
+                   std::optional<std::int64_t> aClockMs,
+                   core::Instant aSentAt);
   /// @brief Drops the blocks of scopes that are no longer read.
   void Forget(core::SupersededScopes aScopes);
 
--- a/src/jujubehead/node/control/weights_deadlines.cpp
+++ b/src/jujubehead/node/control/weights_deadlines.cpp
@@ -42,14 +42,14 @@
   return core::Duration(static_cast<core::Duration::rep>(whole * aFactor));
 }
 
-core::HeardTime
+core::AvailableTimeLimits
 AllowedTimes(const EntryOptions& aOptions)
 {
-  core::HeardTime time;
-  time.in_one = Scale(aOptions.weights_time, kOldWeightsShare);
-  time.in_all = aOptions.weights_time_in_all > core::Duration(0)
-                  ? Scale(aOptions.weights_time_in_all, kOldWeightsShare)
-                  : Scale(time.in_one, kDefaultTotalRatio);
+  core::AvailableTimeLimits time;
+  time.max_continuous = Scale(aOptions.weights_time, kOldWeightsShare);
+  time.max_total = aOptions.weights_time_in_all > core::Duration(0)
+                     ? Scale(aOptions.weights_time_in_all, kOldWeightsShare)
+                     : Scale(time.max_continuous, kDefaultTotalRatio);
   return time;
 }
 
@@ -59,7 +59,7 @@
                                    const EntryOptions& aOptions,
                                    SharedRows& aShared,
                                    const core::RemoteClock& aStoreClock,
-                                   const core::InstanceBook& aInstances,
+                                   const core::InstanceDirectory& aInstances,
                                    WeightsDeadlinesHooks aHooks)
   : m_context(aContext)
   , m_shared(aShared)
@@ -79,19 +79,19 @@
 }
 
 void
-WeightsDeadlines::OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll)
+WeightsDeadlines::OnOperatorUpdate(const OperatorUpdate& aUpdate, bool aIsAll)
 {
   bool is_new = false;
   for (const core::LoadedModel& wanted : aUpdate.wanted) {
     const bool is_newer =
-      m_old.OnRead(wanted.model, wanted.version, aIsAll, aUpdate.told);
+      m_old.OnRead(wanted.model, wanted.version, aIsAll, aUpdate.answered_at);
     if (!is_newer) {
       continue;
     }
     is_new = true;
     ApplyNamings(wanted.model);
     m_wanted = m_old.Wanted(core::RuntimeClock::now());
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("weights_wanted")
         .Add("model", wanted.model.View())
         .Add("version", wanted.version)
@@ -99,7 +99,8 @@
         .Add("older_end_in", OlderTimeLeft(wanted.model)));
   }
   const bool is_restored =
-    !aUpdate.is_recalled && m_old.OnAnswer(aUpdate.asked, aUpdate.told);
+    !aUpdate.is_from_cache &&
+    m_old.OnAnswer(aUpdate.requested_at, aUpdate.answered_at);
   if (is_new || is_restored) {
     Update(is_new);
   }
@@ -113,7 +114,7 @@
 }
 
 void
-WeightsDeadlines::OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll)
+WeightsDeadlines::OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll)
 {
   bool has_records = aIsAll;
   for (const SharedRow& row : aUpdate.rows) {
@@ -124,7 +125,7 @@
   }
   if (aIsAll) {
     m_is_shared_read = true;
-    m_old.OnRecordRead();
+    m_old.OnRecordLoaded();
   }
   if (has_records) {
     Update(false);
@@ -139,7 +140,7 @@
     return;
   }
   recorded.version = aRow.value ? aRow.version : 0;
-  recorded.namings = core::NamingRecordOf(aRow.value.value_or(""));
+  recorded.namings = core::AnnouncementRecordOf(aRow.value.value_or(""));
   ApplyNamings(aModel);
 }
 
@@ -149,12 +150,12 @@
   const core::Instant now = core::RuntimeClock::now();
   for (const auto& [version, named] : m_recorded[aModel].namings) {
     // The store's rows and its clock come in the same responses.
-    const auto when = m_store_clock.EarliestOf(named, now);
+    const auto when = m_store_clock.EarliestTimeOf(named, now);
     if (when && m_old.OnRecorded(aModel, version, *when, now)) {
-      DecisionLog::WriteAlways(LogLine("weights_naming_read")
-                                 .Add("model", aModel.View())
-                                 .Add("version", version)
-                                 .Add("named_ago", now - *when));
+      DecisionLog::WriteUnthrottled(LogLine("weights_naming_read")
+                                      .Add("model", aModel.View())
+                                      .Add("version", version)
+                                      .Add("named_ago", now - *when));
     }
   }
 }
@@ -181,21 +182,22 @@
   }
 }
 
-core::NamingRecord
+core::AnnouncementRecord
 WeightsDeadlines::RecordOf(const core::ModelId& aModel) const
 {
   const auto found = m_recorded.find(aModel);
-  core::NamingRecord record =
-    found == m_recorded.end() ? core::NamingRecord{} : found->second.namings;
-  for (const auto& [version, naming] : m_old.ToRecord(aModel)) {
+  core::AnnouncementRecord record = found == m_recorded.end()
+                                      ? core::AnnouncementRecord{}
+                                      : found->second.namings;
+  for (const auto& [version, naming] : m_old.AnnouncementsOf(aModel)) {
     // Recorded values are never replaced: recomputed from widening clock bounds
     // they would differ each time, and instances would overwrite each other for
     // ever.
-    if (const auto named = m_store_clock.LeastAt(naming.when)) {
+    if (const auto named = m_store_clock.LowerBoundAt(naming.when)) {
       record.emplace(version, *named);
     }
   }
-  while (record.size() > core::kMostNamings) {
+  while (record.size() > core::kMaxAnnouncements) {
     record.erase(record.begin());
   }
   return record;
@@ -207,8 +209,8 @@
   const std::size_t rank =
     core::RankOf(m_instances.All(), m_self, aModel.View());
   const core::Duration turn = kRankDelay * std::min(rank, kMaxRanks);
-  const core::NamingRecord& recorded = m_recorded.at(aModel).namings;
-  for (const auto& [version, naming] : m_old.ToRecord(aModel)) {
+  const core::AnnouncementRecord& recorded = m_recorded.at(aModel).namings;
+  for (const auto& [version, naming] : m_old.AnnouncementsOf(aModel)) {
     if (!naming.is_assumed && !recorded.contains(version)) {
       return turn;
     }
@@ -248,7 +250,7 @@
 {
   std::string why;
   try {
-    core::NamingRecord record = RecordOf(aModel);
+    core::AnnouncementRecord record = RecordOf(aModel);
     std::string key = std::string(kRecordPrefix) + aModel.Text();
     const std::optional<std::uint64_t> version = co_await m_shared.Put(
       std::move(key), core::ToText(record), m_recorded[aModel].version);
@@ -264,9 +266,9 @@
     why = error.what();
   }
   // The current row arrives with the next update.
-  DecisionLog::WriteAlways(LogLine("weights_naming_unwritten")
-                             .Add("model", aModel.View())
-                             .Add("why", why));
+  DecisionLog::WriteUnthrottled(LogLine("weights_naming_unwritten")
+                                  .Add("model", aModel.View())
+                                  .Add("why", why));
   const core::Duration pause = kRetryPause + JitteredRetryDelay();
   co_await net::Sleep(pause);
 }
@@ -275,8 +277,8 @@
 WeightsDeadlines::OlderTimeLeft(const core::ModelId& aModel) const
 {
   const core::Instant now = core::RuntimeClock::now();
-  const core::WantedWeights& wanted = m_wanted.at(aModel);
-  const core::Instant end = wanted.BeginUntil(wanted.Newest() - 1);
+  const core::DesiredWeights& wanted = m_wanted.at(aModel);
+  const core::Instant end = wanted.StartDeadline(wanted.Newest() - 1);
   return std::max(end - now, core::Duration(0));
 }
 
@@ -292,12 +294,12 @@
   };
   add("jujubehead_weights_wanted",
       "Newest version of a model's weights.",
-      [](const core::ModelId&, const core::WantedWeights& aWanted) {
+      [](const core::ModelId&, const core::DesiredWeights& aWanted) {
         return static_cast<double>(aWanted.Newest());
       });
   add("jujubehead_older_weights_seconds",
       "For how long requests may begin on older weights.",
-      [this](const core::ModelId& aModel, const core::WantedWeights&) {
+      [this](const core::ModelId& aModel, const core::DesiredWeights&) {
         return std::chrono::duration<double>(OlderTimeLeft(aModel)).count();
       });
   return gauges;
--- a/src/jujubehead/node/control/weights_deadlines.hpp
+++ b/src/jujubehead/node/control/weights_deadlines.hpp
@@ -9,17 +9,17 @@
 #include <boost/asio/awaitable.hpp>  // for awaitable
 #include <boost/asio/io_context.hpp> // for io_context
 
-#include "jujubehead/core/membership/instance_book.hpp" // for InstanceBook
-#include "jujubehead/core/remote_clock.hpp"             // for RemoteClock
-#include "jujubehead/core/weights/old_weights.hpp"      // for OldWeights
-#include "jujubehead/net/timer.hpp"                     // for Timer
-#include "jujubehead/node/control/platform.hpp"         // for SharedRows
-#include "jujubehead/node/forward/entry_options.hpp"    // for EntryOptions
-#include "jujubehead/node/metrics.hpp"                  // for Gauge
+#include "jujubehead/core/membership/instance_directory.hpp" // for InstanceDirectory
+#include "jujubehead/core/remote_clock.hpp"                  // for RemoteClock
+#include "jujubehead/core/weights/stale_weights_deadlines.hpp" // for StaleWeightsDeadlines
+#include "jujubehead/net/timer.hpp"                            // for Timer
+#include "jujubehead/node/control/platform.hpp"                // for SharedRows
+#include "jujubehead/node/forward/entry_options.hpp" // for EntryOptions
+#include "jujubehead/node/metrics.hpp"               // for Gauge
 
 namespace jujubehead::node {
 
-using WantedByModel = std::map<core::ModelId, core::WantedWeights>;
+using WantedByModel = std::map<core::ModelId, core::DesiredWeights>;
 
 /// @brief Callbacks of WeightsDeadlines.
 struct WeightsDeadlinesHooks
@@ -44,14 +44,14 @@
                    const EntryOptions& aOptions,
                    SharedRows& aShared,
                    const core::RemoteClock& aStoreClock,
-                   const core::InstanceBook& aInstances,
+                   const core::InstanceDirectory& aInstances,
                    WeightsDeadlinesHooks aHooks);
 
   void Start();
-  void OnOperatorUpdate(const OperatorNews& aUpdate, bool aIsAll);
+  void OnOperatorUpdate(const OperatorUpdate& aUpdate, bool aIsAll);
   /// @brief A read of the operator's rows failed.
   void OnOperatorFailure();
-  void OnSharedUpdate(const SharedNews& aUpdate, bool aIsAll);
+  void OnSharedUpdate(const SharedUpdate& aUpdate, bool aIsAll);
   /// @return metrics of the wanted weights.
   [[nodiscard]] std::vector<Gauge> Gauges() const;
 
@@ -59,7 +59,7 @@
   /// A model's row as it was last read.
   struct Recorded
   {
-    core::NamingRecord namings;
+    core::AnnouncementRecord namings;
     std::uint64_t version = 0; ///< Of the row; 0 if there is none.
     /// Since when a write is due.
     std::optional<core::Instant> due_since;
@@ -71,7 +71,8 @@
   void UpdateDue(const core::ModelId& aModel);
   boost::asio::awaitable<void> Run();
   boost::asio::awaitable<void> Write(core::ModelId aModel);
-  [[nodiscard]] core::NamingRecord RecordOf(const core::ModelId& aModel) const;
+  [[nodiscard]] core::AnnouncementRecord RecordOf(
+    const core::ModelId& aModel) const;
   /// @return how long this instance lets others write first.
   [[nodiscard]] core::Duration WriteDelay(const core::ModelId& aModel) const;
   [[nodiscard]] core::Duration OlderTimeLeft(const core::ModelId& aModel) const;
@@ -79,10 +80,10 @@
   boost::asio::io_context& m_context;
   SharedRows& m_shared;
   const core::RemoteClock& m_store_clock;
-  const core::InstanceBook& m_instances;
+  const core::InstanceDirectory& m_instances;
   std::string m_self;
   WeightsDeadlinesHooks m_hooks;
-  core::OldWeights m_old;
+  core::StaleWeightsDeadlines m_old;
   WantedByModel m_wanted; ///< As last published.
   bool m_is_shared_read = false;
   std::map<core::ModelId, Recorded> m_recorded;
--- a/src/jujubehead/node/control/weights_deadlines_test.cpp
+++ b/src/jujubehead/node/control/weights_deadlines_test.cpp
@@ -49,14 +49,14 @@
     : m_rows(aRows)
   {
   }
-  asio::awaitable<node::SharedNews> ReadAll() override
+  asio::awaitable<node::SharedUpdate> ReadAll() override
   {
-    co_return node::SharedNews{};
+    co_return node::SharedUpdate{};
   }
-  asio::awaitable<node::SharedNews> ReadChanges(std::uint64_t,
-                                                core::Duration) override
+  asio::awaitable<node::SharedUpdate> ReadChanges(std::uint64_t,
+                                                  core::Duration) override
   {
-    co_return node::SharedNews{};
+    co_return node::SharedUpdate{};
   }
   asio::awaitable<std::optional<std::uint64_t>> Put(
     std::string aKey,
@@ -105,15 +105,15 @@
 
   void DeliverOperatorRows(std::uint64_t aVersion, bool aIsAll) const
   {
-    node::OperatorNews update;
-    update.asked = core::RuntimeClock::now();
-    update.told = update.asked;
+    node::OperatorUpdate update;
+    update.requested_at = core::RuntimeClock::now();
+    update.answered_at = update.requested_at;
     update.wanted.push_back({ kModel, aVersion });
     deadlines->OnOperatorUpdate(update, aIsAll);
   }
   void DeliverSharedRows(const Rows& aRows) const
   {
-    node::SharedNews update;
+    node::SharedUpdate update;
     for (const auto& [key, row] : aRows.rows) {
       update.rows.push_back(row);
     }
@@ -121,13 +121,13 @@
   }
   [[nodiscard]] core::Instant End() const
   {
-    return wanted.at(kModel).BeginUntil(1);
+    return wanted.at(kModel).StartDeadline(1);
   }
 
   node::EntryOptions options;
   FakeShared shared;
   core::RemoteClock clock;
-  core::InstanceBook book;
+  core::InstanceDirectory book;
   node::WantedByModel wanted;
   std::unique_ptr<node::WeightsDeadlines> deadlines;
 };
@@ -151,7 +151,7 @@
     rows.on_written = [this](const node::SharedRow& aRow) {
       asio::post(context, [this, aRow] {
         for (const auto& instance : instances) {
-          node::SharedNews update;
+          node::SharedUpdate update;
           update.rows.push_back(aRow);
           instance->deadlines->OnSharedUpdate(update, false);
         }
@@ -265,9 +265,9 @@
   one.deadlines->OnOperatorFailure();
   CHECK(one.End() > end);
   // A hub's update may predate these calls.
-  node::OperatorNews update;
-  update.asked = before;
-  update.told = before;
+  node::OperatorUpdate update;
+  update.requested_at = before;
+  update.answered_at = before;
   one.deadlines->OnOperatorUpdate(update, false);
   CHECK(one.End() == end);
 }
--- a/src/jujubehead/node/directory_service.cpp
+++ b/src/jujubehead/node/directory_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm> // for copy
 #include <utility>   // for move
 
-#include "jujubehead/core/rendezvous.hpp"  // for HomeOf
+#include "jujubehead/core/rendezvous.hpp"  // for RendezvousOwner
 #include "jujubehead/node/member_book.hpp" // for MemberBook
 #include "jujubehead/node/peer_calls.hpp"  // for PeerCalls
 
@@ -54,17 +54,18 @@
 {
 }
 
-asio::awaitable<wire::HoldersAnswer>
+asio::awaitable<wire::HoldersReply>
 DirectoryService::FindHolders(std::vector<core::ContextKey> aKeys)
 {
   if (aKeys.empty()) {
-    co_return wire::HoldersAnswer{};
+    co_return wire::HoldersReply{};
   }
-  const auto home = core::HomeOf(aKeys.front(), m_members.LiveInstances());
+  const auto home =
+    core::RendezvousOwner(aKeys.front(), m_members.LiveInstances());
   if (!home) {
-    co_return wire::HoldersAnswer{};
+    co_return wire::HoldersReply{};
   }
-  wire::HoldersAsk ask;
+  wire::HoldersRequest ask;
   for (const core::ContextKey& key : aKeys) {
     ask.keys.push_back(RawKey(key));
   }
@@ -74,10 +75,10 @@
   const auto answer =
     co_await m_peers.Ask(*home, std::move(ask), kLookupTimeout);
   if (!answer) {
-    co_return wire::HoldersAnswer{};
+    co_return wire::HoldersReply{};
   }
-  const auto* holders = std::get_if<wire::HoldersAnswer>(&*answer);
-  co_return holders == nullptr ? wire::HoldersAnswer{} : *holders;
+  const auto* holders = std::get_if<wire::HoldersReply>(&*answer);
+  co_return holders == nullptr ? wire::HoldersReply{} : *holders;
 }
 
 template<typename Hint>
@@ -87,8 +88,8 @@
   if (aHint.keys.empty()) {
     return;
   }
-  const auto home =
-    core::HomeOf(KeyOfRaw(aHint.keys.front()), m_members.LiveInstances());
+  const auto home = core::RendezvousOwner(KeyOfRaw(aHint.keys.front()),
+                                          m_members.LiveInstances());
   if (!home) {
     return;
   }
@@ -111,10 +112,10 @@
   TellHome(std::move(aHint));
 }
 
-wire::HoldersAnswer
-DirectoryService::Answer(const wire::HoldersAsk& aAsk)
+wire::HoldersReply
+DirectoryService::Answer(const wire::HoldersRequest& aAsk)
 {
-  wire::HoldersAnswer answer;
+  wire::HoldersReply answer;
   for (const core::PrefixHint& hint : m_slice.Lookup(KeysOfRaw(aAsk.keys))) {
     if (const auto* target = std::get_if<core::TargetId>(&hint.holder)) {
       answer.targets.push_back({ *target, hint.blocks });
@@ -136,18 +137,18 @@
     m_slice.Learn(aHint.target, keys);
     return;
   }
-  m_slice.Unlearn(aHint.target, keys);
+  m_slice.RecordRemoved(aHint.target, keys);
 }
 
 void
 DirectoryService::Learn(const wire::StoreHint& aHint)
 {
-  const core::CopyName copy{ aHint.handle, aHint.generation };
+  const core::CopyId copy{ aHint.handle, aHint.generation };
   if (!aHint.stored) {
-    m_slice.ForgetCopy(aHint.store, copy);
+    m_slice.RemoveCopy(aHint.store, copy);
     return;
   }
-  m_slice.LearnCopy(aHint.store, copy, KeysOfRaw(aHint.keys));
+  m_slice.RecordCopy(aHint.store, copy, KeysOfRaw(aHint.keys));
 }
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/directory_service.hpp
+++ b/src/jujubehead/node/directory_service.hpp
@@ -9,7 +9,7 @@
 
 #include "jujubehead/core/context_key.hpp" // for ContextKey
 #include "jujubehead/core/directory.hpp"   // for Directory
-#include "jujubehead/wire/messages.hpp"    // for HoldersAsk, TargetHint
+#include "jujubehead/wire/messages.hpp"    // for HoldersRequest, TargetHint
 
 namespace jujubehead::node {
 
@@ -26,19 +26,22 @@
 
   /// @brief Asks the context's home who holds a prefix.
   /// @return no hints when the home does not answer in time.
-  boost::asio::awaitable<wire::HoldersAnswer> FindHolders(
+  boost::asio::awaitable<wire::HoldersReply> FindHolders(
     std::vector<core::ContextKey> aKeys);
   /// @brief Tells the home of the first key.
   void Tell(wire::TargetHint aHint);
   void Tell(wire::StoreHint aHint);
 
   /// @brief The home's side of these.
-  [[nodiscard]] wire::HoldersAnswer Answer(const wire::HoldersAsk& aAsk);
+  [[nodiscard]] wire::HoldersReply Answer(const wire::HoldersRequest& aAsk);
   void Learn(const wire::TargetHint& aHint);
   void Learn(const wire::StoreHint& aHint);
 
   /// @brief Drops the hints of a holder that has gone.
-  void Forget(const core::Holder& aHolder) { m_slice.Forget(aHolder); }
+  void RemoveHolder(const core::Holder& aHolder)
+  {
+    m_slice.RemoveHolder(aHolder);
+  }
   [[nodiscard]] std::size_t Size() const { return m_slice.Size(); }
 
 private:
--- a/src/jujubehead/node/entry.cpp
+++ b/src/jujubehead/node/entry.cpp
@@ -46,18 +46,18 @@
 {
 public:
   Instance(const EntryOptions& aOptions,
-           const Dialect& aDialect,
+           const HeaderCodec& aHeaderCodec,
            const MakePlatform& aMakePlatform)
     : m_options(aOptions)
     , m_metrics(Metrics::Create())
-    , m_forwarder(aOptions, aDialect, *m_metrics)
+    , m_forwarder(aOptions, aHeaderCodec, *m_metrics)
     , m_paths(aOptions.table_service, aOptions.instance_id.Text())
     , m_control(m_context,
                 aOptions,
                 aMakePlatform(m_context, m_paths),
                 m_paths,
                 m_forwarder)
-    , m_relay(m_context, m_paths, m_control.Known())
+    , m_relay(m_context, m_paths, m_control.CachedRows())
     , m_signals(m_context, SIGTERM, SIGINT, SIGHUP)
   {
     m_ready = net::HttpServer::Create(
@@ -94,7 +94,7 @@
   /// A question of another instance.
   asio::awaitable<void> HandleInstance(net::HttpExchange& aExchange)
   {
-    if (aExchange.Request().Path() == kHubNewsPath) {
+    if (aExchange.Request().Path() == kHubUpdatesPath) {
       co_await m_control.Hubs().Handle(aExchange);
     } else if (aExchange.Request().Path() == kHubLoadsPath) {
       co_await m_control.Hubs().HandleLoads(aExchange);
@@ -130,7 +130,7 @@
           static_cast<double>(m_control.Targets()));
     gauge("jujubehead_store_straight",
           "Whether the operators' store is reached without another instance.",
-          m_paths.IsStraight() ? 1 : 0);
+          m_paths.IsDirect() ? 1 : 0);
     gauge("jujubehead_ready",
           "Whether callers are taken.",
           !m_stopping && m_control.IsReady() ? 1 : 0);
@@ -153,7 +153,7 @@
         WaitForSignal();
         if (aSignal == SIGHUP) {
           // Nothing that can change while the process lives is in the settings.
-          DecisionLog::WriteAlways(
+          DecisionLog::WriteUnthrottled(
             LogLine("reload").Add("outcome", "settings_unchanged"));
         } else if (!m_stopping) {
           m_stopping = true;
@@ -165,7 +165,7 @@
   asio::awaitable<void> PlannedStop()
   {
     const core::Instant begun = core::RuntimeClock::now();
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("stop_begun")
         .Add("open_requests", std::uint64_t(m_forwarder.OpenRequests())));
     const core::Instant last = begun + m_options.stop_grace - kEndMargin;
@@ -182,7 +182,7 @@
         break;
       }
     }
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("stop_ended")
         .Add("open_requests", std::uint64_t(m_forwarder.OpenRequests()))
         .Add("took", core::RuntimeClock::now() - begun));
@@ -207,18 +207,19 @@
 
 int
 RunEntry(const EntryOptions& aOptions,
-         const Dialect& aDialect,
+         const HeaderCodec& aHeaderCodec,
          const MakePlatform& aMakePlatform)
 {
   ConfigureLog(aOptions.log_config, LogStream::kOut);
   try {
-    Instance instance(aOptions, aDialect, aMakePlatform);
-    DecisionLog::WriteAlways(LogLine("started")
-                               .Add("instance", aOptions.instance_id.View())
-                               .Add("data_centre", aOptions.data_centre.View())
-                               .Add("callers", aOptions.caller_address));
+    Instance instance(aOptions, aHeaderCodec, aMakePlatform);
+    DecisionLog::WriteUnthrottled(
+      LogLine("started")
+        .Add("instance", aOptions.instance_id.View())
+        .Add("data_centre", aOptions.data_centre.View())
+        .Add("callers", aOptions.caller_address));
     instance.Run();
-    DecisionLog::WriteAlways(LogLine("ended"));
+    DecisionLog::WriteUnthrottled(LogLine("ended"));
     return 0;
   } catch (const std::exception& error) {
     LogError("entry", std::string("event=cannot_run why=") + error.what());
--- a/src/jujubehead/node/entry_service.cpp
+++ b/src/jujubehead/node/entry_service.cpp
@@ -8,7 +8,7 @@
 #include <boost/asio/redirect_error.hpp> // for redirect_error
 #include <boost/asio/use_awaitable.hpp>  // for use_awaitable
 
-#include "jujubehead/core/rendezvous.hpp"        // for HomeOf
+#include "jujubehead/core/rendezvous.hpp"        // for RendezvousOwner
 #include "jujubehead/core/sparse_depths.hpp"     // for SparseKeys
 #include "jujubehead/net/timer.hpp"              // for Timer
 #include "jujubehead/node/directory_service.hpp" // for DirectoryService, RawKey
@@ -49,7 +49,7 @@
   copy.store = aHolder.store;
   copy.handle = aHolder.handle;
   copy.generation = aHolder.generation;
-  copy.blocks = core::BlocksOfSparse(aHolder.keys);
+  copy.blocks = core::SparseDepthAt(aHolder.keys);
   copy.link_wait = aQuote.wait;
   copy.bytes_per_second = static_cast<double>(aQuote.bytes_per_second);
   copy.bytes_per_block = aQuote.bytes_per_block;
@@ -57,7 +57,7 @@
 }
 
 NotAdmitted
-Refusal(const std::optional<wire::PermitAnswer>& aAnswer)
+Refusal(const std::optional<wire::PermitReply>& aAnswer)
 {
   if (!aAnswer || aAnswer->outcome == wire::PermitOutcome::kNotOwner) {
     return { NotAdmittedReason::kUnreachable, std::chrono::seconds(1) };
@@ -69,7 +69,7 @@
       return { NotAdmittedReason::kNoTarget, aAnswer->retry_after };
     case core::RefusalReason::kDeadline:
     case core::RefusalReason::kQueueFull:
-    case core::RefusalReason::kHolderSilent:
+    case core::RefusalReason::kHolderTimeout:
       break;
   }
   return { NotAdmittedReason::kOverload, aAnswer->retry_after };
@@ -106,7 +106,7 @@
 
   net::Timer timer;
   core::TargetId target;
-  std::optional<wire::PermitAnswer> answer;
+  std::optional<wire::PermitReply> answer;
   bool abandoned = false;
 };
 
@@ -157,7 +157,7 @@
 EntryService::TryToAdmit(const AdmissionAsk& aAsk, core::Instant aUntil)
 {
   const auto waiter = m_waiting.at(aAsk.attempt);
-  const wire::HoldersAnswer holders =
+  const wire::HoldersReply holders =
     co_await m_directory.FindHolders(core::SparseKeys(aAsk.chain));
   const Candidates candidates = ChooseCandidates(aAsk, holders);
   if (candidates.targets.empty()) {
@@ -218,7 +218,7 @@
 
 EntryService::Candidates
 EntryService::ChooseCandidates(const AdmissionAsk& aAsk,
-                               const wire::HoldersAnswer& aHolders)
+                               const wire::HoldersReply& aHolders)
 {
   std::vector<core::TargetId> usable;
   for (const net::Member* member : m_members.TargetsOf(aAsk.model)) {
@@ -234,7 +234,7 @@
   }
   Candidates candidates;
   for (const wire::TargetHolder& holder : aHolders.targets) {
-    candidates.cached_blocks[holder.target] = core::BlocksOfSparse(holder.keys);
+    candidates.cached_blocks[holder.target] = core::SparseDepthAt(holder.keys);
     if (candidates.targets.size() < kHolderCandidates &&
         Contains(usable, holder.target)) {
       candidates.targets.push_back(holder.target);
@@ -259,13 +259,13 @@
 EntryService::Quotes(const AdmissionAsk& aAsk,
                      std::vector<core::TargetId> aTargets)
 {
-  std::map<core::InstanceId, wire::QuoteAsk> asks;
+  std::map<core::InstanceId, wire::QuoteRequest> asks;
   for (core::TargetId& target : aTargets) {
     const auto owner = m_owners.OwnerOf(target);
     if (!owner || IsSilent(*owner)) {
       continue;
     }
-    wire::QuoteAsk& ask = asks[*owner];
+    wire::QuoteRequest& ask = asks[*owner];
     ask.account = aAsk.account;
     ask.version = aAsk.version;
     ask.adapter = aAsk.adapter;
@@ -294,7 +294,7 @@
           co_await m_peers.Ask(to, std::move(message), kQuoteTimeout);
         if (!answer) {
           m_silent_until[to] = RuntimeClock::now() + kSilence;
-        } else if (const auto* got = std::get_if<wire::QuoteAnswer>(&*answer)) {
+        } else if (const auto* got = std::get_if<wire::QuoteReply>(&*answer)) {
           gathering->quotes.insert(
             gathering->quotes.end(), got->quotes.begin(), got->quotes.end());
         }
@@ -323,7 +323,7 @@
     if (!owner || !known || copies.size() >= kMaxCopies) {
       continue;
     }
-    wire::Message ask = wire::LinkAsk{ holder.store, aAccount };
+    wire::Message ask = wire::LinkQuoteRequest{ holder.store, aAccount };
     const auto answer =
       co_await m_peers.Ask(*owner, std::move(ask), kQuoteTimeout);
     const auto* quote =
@@ -335,7 +335,7 @@
   co_return copies;
 }
 
-asio::awaitable<std::optional<wire::PermitAnswer>>
+asio::awaitable<std::optional<wire::PermitReply>>
 EntryService::AskPermit(const AdmissionAsk& aAsk,
                         core::TargetId aTarget,
                         core::Instant aUntil)
@@ -345,17 +345,17 @@
   waiter->target = aTarget;
   waiter->answer.reset();
   // The owner refuses at the deadline; its word may take one repeat to come.
-  const auto give_up = aUntil + rules.repeat_within;
+  const auto give_up = aUntil + rules.request_ttl;
   while (!waiter->abandoned && !waiter->answer &&
          RuntimeClock::now() < give_up) {
     SendAsk(aAsk, aTarget, aUntil);
-    waiter->timer.expires_after(rules.repeat_within / 2);
+    waiter->timer.expires_after(rules.request_ttl / 2);
     boost::system::error_code ignored;
     co_await waiter->timer.async_wait(
       asio::redirect_error(asio::use_awaitable, ignored));
   }
   if (!waiter->answer) {
-    HolderOf(aTarget).Forget(aAsk.attempt);
+    HolderOf(aTarget).RemoveRequest(aAsk.attempt);
     TellOwner(aTarget, wire::PermitWithdraw{ aTarget, aAsk.attempt });
   }
   co_return waiter->answer;
@@ -367,20 +367,20 @@
                       core::Instant aUntil)
 {
   const auto now = RuntimeClock::now();
-  HolderOf(aTarget).Asked(aAsk.attempt, aAsk.account);
+  HolderOf(aTarget).RegisterRequest(aAsk.attempt, aAsk.account);
   TellOwner(aTarget,
-            wire::PermitAsk{ aTarget,
-                             aAsk.attempt,
-                             aAsk.account,
-                             aAsk.priority,
-                             std::max(aUntil - now, core::Duration::zero()),
-                             aAsk.cost_tokens,
-                             MarkOf(now),
-                             m_process });
+            wire::PermitAcquire{ aTarget,
+                                 aAsk.attempt,
+                                 aAsk.account,
+                                 aAsk.priority,
+                                 std::max(aUntil - now, core::Duration::zero()),
+                                 aAsk.cost_tokens,
+                                 MarkOf(now),
+                                 m_process });
 }
 
 void
-EntryService::OfferToKeep(wire::KeepOffer aOffer)
+EntryService::OfferToKeep(wire::ExportOffer aOffer)
 {
   std::vector<core::InstanceId> stores;
   for (const net::Member* store : m_members.Stores()) {
@@ -390,7 +390,8 @@
   }
   // The same store for the same context, so that its owner sees the gaps
   // between its uses.
-  const auto home = core::HomeOf(KeyOfRaw(aOffer.keys.front()), stores);
+  const auto home =
+    core::RendezvousOwner(KeyOfRaw(aOffer.keys.front()), stores);
   if (!home) {
     return;
   }
@@ -410,7 +411,7 @@
 }
 
 void
-EntryService::OnAnswer(const wire::PermitAnswer& aAnswer)
+EntryService::OnAnswer(const wire::PermitReply& aAnswer)
 {
   const auto found = m_waiting.find(aAnswer.request);
   Waiter* waiter = found == m_waiting.end() ? nullptr : found->second.get();
@@ -424,7 +425,7 @@
     const auto outcome =
       HolderOf(aAnswer.target)
         .OnGranted(grant, InstantOf(aAnswer.mark), RuntimeClock::now());
-    if (std::holds_alternative<core::GiveBackPermit>(outcome)) {
+    if (std::holds_alternative<core::ReleasePermit>(outcome)) {
       ++m_counters.permits_too_late;
       wire::PermitRelease release;
       release.target = aAnswer.target;
@@ -444,7 +445,7 @@
       return;
     }
   } else if (waits) {
-    HolderOf(aAnswer.target).Forget(aAnswer.request);
+    HolderOf(aAnswer.target).RemoveRequest(aAnswer.request);
   }
   if (aAnswer.outcome == wire::PermitOutcome::kNotOwner) {
     ++m_counters.not_owner;
@@ -455,10 +456,10 @@
   }
 }
 
-wire::HoldingsAnswer
-EntryService::Holdings(const wire::HoldingsAsk& aAsk)
+wire::HoldingsReply
+EntryService::Holdings(const wire::HoldingsRequest& aAsk)
 {
-  core::HoldingsAnswer told = HolderOf(aAsk.target).Answer({ aAsk.up_to });
+  core::HoldingsReply told = HolderOf(aAsk.target).AnswerQuery({ aAsk.up_to });
   return { aAsk.target, told.up_to, std::move(told.held), m_process };
 }
 
@@ -497,7 +498,7 @@
 void
 EntryService::Release(wire::PermitRelease aRelease)
 {
-  HolderOf(aRelease.target).Ended({ aRelease.epoch, aRelease.number });
+  HolderOf(aRelease.target).OnRunEnded({ aRelease.epoch, aRelease.number });
   const core::TargetId target = aRelease.target;
   TellOwner(target, std::move(aRelease));
 }
@@ -505,7 +506,7 @@
 Admitted
 EntryService::MakeAdmitted(const AdmissionAsk& aAsk,
                            const core::RoutePlan& aPlan,
-                           const wire::PermitAnswer& aAnswer) const
+                           const wire::PermitReply& aAnswer) const
 {
   const core::PermitRules rules;
   Admitted admitted;
--- a/src/jujubehead/node/entry_service.hpp
+++ b/src/jujubehead/node/entry_service.hpp
@@ -19,7 +19,7 @@
 #include "jujubehead/core/router.hpp"        // for RoutePlan, StoredCopy
 #include "jujubehead/node/owner_map.hpp"     // for OwnerMap
 #include "jujubehead/node/status.hpp"        // for RunsStatus
-#include "jujubehead/wire/messages.hpp"      // for PermitAnswer
+#include "jujubehead/wire/messages.hpp"      // for PermitReply
 
 namespace jujubehead::node {
 
@@ -106,13 +106,13 @@
   void Release(wire::PermitRelease aRelease);
 
   /// @brief A run ended whole: its context may be worth keeping in a store.
-  void OfferToKeep(wire::KeepOffer aOffer);
+  void OfferToKeep(wire::ExportOffer aOffer);
   /// @brief An import brought nothing: the hint of the copy was wrong.
   void ReportMissing(const core::StoredCopy& aCopy);
 
   /// @brief Messages from owners.
-  void OnAnswer(const wire::PermitAnswer& aAnswer);
-  [[nodiscard]] wire::HoldingsAnswer Holdings(const wire::HoldingsAsk& aAsk);
+  void OnAnswer(const wire::PermitReply& aAnswer);
+  [[nodiscard]] wire::HoldingsReply Holdings(const wire::HoldingsRequest& aAsk);
 
   /// @return how many requests this instance runs at each target.
   [[nodiscard]] std::vector<RunsStatus> Runs() const;
@@ -129,16 +129,15 @@
     const Candidates& aCandidates,
     std::span<const wire::TargetQuote> aQuotes,
     std::span<const core::StoredCopy> aCopies) const;
-  [[nodiscard]] Candidates ChooseCandidates(
-    const AdmissionAsk& aAsk,
-    const wire::HoldersAnswer& aHolders);
+  [[nodiscard]] Candidates ChooseCandidates(const AdmissionAsk& aAsk,
+                                            const wire::HoldersReply& aHolders);
   boost::asio::awaitable<std::vector<wire::TargetQuote>> Quotes(
     const AdmissionAsk& aAsk,
     std::vector<core::TargetId> aTargets);
   boost::asio::awaitable<std::vector<core::StoredCopy>> Copies(
     core::AccountId aAccount,
     std::vector<wire::StoreHolder> aHolders);
-  boost::asio::awaitable<std::optional<wire::PermitAnswer>> AskPermit(
+  boost::asio::awaitable<std::optional<wire::PermitReply>> AskPermit(
     const AdmissionAsk& aAsk,
     core::TargetId aTarget,
     core::Instant aUntil);
@@ -147,7 +146,7 @@
                core::Instant aUntil);
   [[nodiscard]] Admitted MakeAdmitted(const AdmissionAsk& aAsk,
                                       const core::RoutePlan& aPlan,
-                                      const wire::PermitAnswer& aAnswer) const;
+                                      const wire::PermitReply& aAnswer) const;
   [[nodiscard]] bool IsSilent(const core::InstanceId& aOwner) const;
   [[nodiscard]] core::PermitHolder& HolderOf(const core::TargetId& aTarget);
   void TellOwner(const core::TargetId& aTarget, wire::Message aMessage);
--- a/src/jujubehead/node/forward/decision_log.cpp
+++ b/src/jujubehead/node/forward/decision_log.cpp
@@ -85,7 +85,7 @@
 }
 
 void
-DecisionLog::WriteAlways(const LogLine& aLine)
+DecisionLog::WriteUnthrottled(const LogLine& aLine)
 {
   LogInfo(kLogger, aLine.Text());
 }
--- a/src/jujubehead/node/forward/decision_log.hpp
+++ b/src/jujubehead/node/forward/decision_log.hpp
@@ -49,7 +49,7 @@
 
   void Write(const LogLine& aLine);
   /// @brief Writes a line regardless of the limit, for changes of state.
-  static void WriteAlways(const LogLine& aLine);
+  static void WriteUnthrottled(const LogLine& aLine);
 
   [[nodiscard]] std::uint64_t Dropped() const { return m_dropped_total; }
 
--- a/src/jujubehead/node/forward/forward_attempt.cpp
+++ b/src/jujubehead/node/forward/forward_attempt.cpp
@@ -3,10 +3,10 @@
 #include <algorithm> // for max, min
 #include <utility>   // for move
 
-#include "jujubehead/core/routing/patience.hpp" // for StreamPatience
+#include "jujubehead/core/routing/stall_timeout.hpp" // for StreamStallTimeout
 
-#include "part_places.hpp"    // for PlaceParts
 #include "target_message.hpp" // for FormatTargetRequest
+#include "transfer_plan.hpp"  // for PlanTransfers
 
 // One attempt of a request at one target: the call, its reply and its
 // time-outs. Routing, retries and the final response are in forward_run.cpp.
@@ -15,7 +15,7 @@
 namespace {
 
 namespace asio = boost::asio;
-using core::AttemptEnd;
+using core::AttemptOutcome;
 using core::Duration;
 
 constexpr unsigned kRequestTimeout = 408;
@@ -84,7 +84,7 @@
   const core::CacheScope scope = ScopeFor(*call.weight_version);
   call.cache_scope = core::ToText(scope);
   m_planned =
-    PlaceParts(m_state, prompt, scope, aTarget, m_route->objective, call);
+    PlanTransfers(m_state, prompt, scope, aTarget, m_route->objective, call);
   m_state.metrics.Add(Counter::kImportedTokens, m_planned.transferred);
   m_state.metrics.Add(Counter::kRecomputedTokens, m_planned.recomputed);
   m_state.metrics.Add(Counter::kPassedOverTokens, m_planned.skipped);
@@ -104,10 +104,10 @@
   options.max_idle =
     m_route->repeatable ? kMaxIdleRepeatable : kMaxIdleNonRepeatable;
   TargetExchange exchange(
-    m_session->Executor(), m_state.dialect, aTarget, std::move(options));
+    m_session->Executor(), m_state.header_codec, aTarget, std::move(options));
   m_exchange = &exchange;
   m_awaited_target = aTarget;
-  m_silence_timed_out = false;
+  m_stall_timed_out = false;
   m_load_at_send = aTarget->load.Requests(core::RuntimeClock::now());
   m_sent_at = core::RuntimeClock::now();
   aTarget->load.OnBegin();
@@ -118,9 +118,9 @@
   m_is_streaming = false;
   m_exchange = nullptr;
   m_awaited_target = nullptr;
-  m_silence_timer.Clear();
-  if (failure && m_timed_out && *failure == AttemptEnd::kBroken) {
-    co_return AttemptEnd::kTimedOut;
+  m_stall_timer.Clear();
+  if (failure && m_timed_out && *failure == AttemptOutcome::kBroken) {
+    co_return AttemptOutcome::kTimedOut;
   }
   co_return failure;
 }
@@ -137,22 +137,22 @@
     if (aExchange.WasConnectionRefused()) {
       PublishGone(aTarget);
     }
-    co_return AttemptEnd::kNotSent;
+    co_return AttemptOutcome::kNotSent;
   }
   if (IsCancelled()) {
-    co_return AttemptEnd::kNotSent;
+    co_return AttemptOutcome::kNotSent;
   }
   const TargetCall call = BuildCall(aTarget);
   m_last_weights = call.weight_version;
   aExchange.Send(
-    FormatTargetRequest(m_state.dialect, m_session->Request(), call));
-  StartSilenceTimer(aTarget);
+    FormatTargetRequest(m_state.header_codec, m_session->Request(), call));
+  StartStallTimer(aTarget);
   const ReadResult result = co_await aExchange.ReadHead();
   if (result == ReadResult::kBroken) {
     co_return OnBrokenReply(aTarget, aExchange);
   }
   RecordReply(aTarget, aExchange.Metadata());
-  const ReplyFacts& metadata = aExchange.Metadata();
+  const ReplyMetadata& metadata = aExchange.Metadata();
   const unsigned status = aExchange.Head().status;
   if (metadata.not_run) {
     co_return OnRefusal(aTarget, status, metadata);
@@ -161,7 +161,7 @@
     m_last_error =
       "reply is not from the target, status " + std::to_string(status);
     aTarget.health.OnFailure(core::RuntimeClock::now());
-    co_return AttemptEnd::kBroken;
+    co_return AttemptOutcome::kBroken;
   }
   if (IsSuccess(status) && m_route->streams &&
       IsEventStream(aExchange.Head())) {
@@ -171,7 +171,7 @@
 }
 
 void
-ForwardRun::RecordReply(FleetTarget& aTarget, const ReplyFacts& aMetadata)
+ForwardRun::RecordReply(FleetTarget& aTarget, const ReplyMetadata& aMetadata)
 {
   const core::Instant now = core::RuntimeClock::now();
   aTarget.last_response_at = now;
@@ -192,7 +192,7 @@
 {
   if (m_state.shares_loads) {
     m_state.pending_load_reports.Put(
-      core::GoneTarget(aTarget.target.id, core::RuntimeClock::now()));
+      core::GoneTargetReport(aTarget.target.id, core::RuntimeClock::now()));
   }
 }
 
@@ -202,19 +202,19 @@
   if (m_session->IsDisconnected()) {
     return std::nullopt;
   }
-  m_last_error = m_timed_out           ? "request timed out"
-                 : m_silence_timed_out ? "target stopped responding"
-                                       : aExchange.Error();
-  if (!m_timed_out && !m_silence_timed_out) {
+  m_last_error = m_timed_out         ? "request timed out"
+                 : m_stall_timed_out ? "target stopped responding"
+                                     : aExchange.Error();
+  if (!m_timed_out && !m_stall_timed_out) {
     aTarget.health.OnFailure(core::RuntimeClock::now());
   }
-  return AttemptEnd::kBroken;
+  return AttemptOutcome::kBroken;
 }
 
 ForwardRun::AttemptFailure
 ForwardRun::OnRefusal(FleetTarget& aTarget,
                       unsigned aStatus,
-                      const ReplyFacts& aMetadata)
+                      const ReplyMetadata& aMetadata)
 {
   m_last_error = "target refused the request";
   m_state.metrics.Add(Counter::kTargetRefusals);
@@ -228,7 +228,7 @@
   } else {
     aTarget.health.OnAnswer();
   }
-  return AttemptEnd::kRefused;
+  return AttemptOutcome::kRefused;
 }
 
 asio::awaitable<ForwardRun::AttemptFailure>
@@ -242,7 +242,7 @@
   if (aResult == ReadResult::kBroken) {
     co_return OnBrokenReply(aTarget, aExchange);
   }
-  m_silence_timer.Clear();
+  m_stall_timer.Clear();
   FullResponse response;
   response.status = aExchange.Head().status;
   response.reason = aExchange.Head().reason;
@@ -252,16 +252,16 @@
     aTarget.health.OnFailure(core::RuntimeClock::now());
     m_last_error = "target returned status " + std::to_string(response.status);
     if (m_session->HasStreamBegun() ||
-        aTarget.health.FailingShare() > kSuspectFailureShare) {
+        aTarget.health.FailureRate() > kSuspectFailureShare) {
       m_target_failure = std::move(response);
-      co_return AttemptEnd::kFailed;
+      co_return AttemptOutcome::kFailed;
     }
   } else {
     aTarget.health.OnAnswer();
   }
   if (m_session->HasStreamBegun()) {
     m_last_error = "target did not resume the stream";
-    co_return AttemptEnd::kBroken;
+    co_return AttemptOutcome::kBroken;
   }
   const unsigned status = response.status;
   const bool written = co_await m_session->SendResponse(std::move(response));
@@ -283,10 +283,10 @@
       aTarget.last_response_at = core::RuntimeClock::now();
       aTarget.active_streams += m_is_streaming ? 0 : 1;
       m_is_streaming = true;
-      StartSilenceTimer(aTarget);
+      StartStallTimer(aTarget);
       if (!m_session->HasStreamBegun()) {
         m_first_event_at = aTarget.last_response_at;
-        m_state.waits[m_route->name].OnFirstAnswer(
+        m_state.waits[m_route->name].OnFirstResponse(
           m_load_at_send, m_first_event_at - m_sent_at);
         m_session->BeginStream(aExchange.Head().status,
                                aExchange.Head().reason,
@@ -308,7 +308,7 @@
   if (!aExchange.Body().empty()) {
     m_last_error = "stream ended in the middle of an event";
     aTarget.health.OnFailure(core::RuntimeClock::now());
-    co_return AttemptEnd::kBroken;
+    co_return AttemptOutcome::kBroken;
   }
   aTarget.health.OnAnswer();
   if (!m_session->HasStreamBegun()) {
@@ -337,13 +337,14 @@
   if (wanted == m_state.wanted_weights.end() || !aCall.weight_version) {
     return Duration::max();
   }
-  const core::Instant until = wanted->second.BeginUntil(*aCall.weight_version);
+  const core::Instant until =
+    wanted->second.StartDeadline(*aCall.weight_version);
   return until == core::Instant::max() ? Duration::max()
                                        : until - core::RuntimeClock::now();
 }
 
 void
-ForwardRun::StartSilenceTimer(const FleetTarget& aTarget)
+ForwardRun::StartStallTimer(const FleetTarget& aTarget)
 {
   if (!m_route->repeatable ||
       m_history.may_have_run + 1 >= m_route->max_targets) {
@@ -351,17 +352,17 @@
   }
   m_awaiting_since = core::RuntimeClock::now();
   if (m_route->streams) {
-    core::SilenceInput input;
+    core::StallTimeoutInput input;
     input.objective = m_route->objective;
     input.predicted = m_state.waits[m_route->name].At(m_load_at_send);
     const std::uint32_t own = m_is_streaming ? 1 : 0;
-    input.others_stream = aTarget.active_streams > own;
-    m_silence_timer.Set(core::StreamPatience(input));
+    input.has_other_streams = aTarget.active_streams > own;
+    m_stall_timer.Set(core::StreamStallTimeout(input));
     return;
   }
   const Duration timeout(static_cast<Duration::rep>(
     kCallTimeoutFactor * static_cast<double>(m_route->objective.count())));
-  m_silence_timer.Set(std::min(timeout, TimeLeft() / 2));
+  m_stall_timer.Set(std::min(timeout, TimeLeft() / 2));
 }
 
 void
@@ -373,10 +374,10 @@
   if (m_route->streams &&
       m_awaited_target->last_response_at > m_awaiting_since) {
     // It responds to other requests, so it is busy, not hung.
-    StartSilenceTimer(*m_awaited_target);
+    StartStallTimer(*m_awaited_target);
     return;
   }
-  m_silence_timed_out = true;
+  m_stall_timed_out = true;
   m_awaited_target->health.OnUnreachable(core::RuntimeClock::now());
   m_exchange->Close();
 }
--- a/src/jujubehead/node/forward/forward_run.cpp
+++ b/src/jujubehead/node/forward/forward_run.cpp
@@ -4,13 +4,13 @@
 #include <cmath>     // for lround
 #include <utility>   // for move
 
-#include "jujubehead/core/routing/placement.hpp" // for PlacePrompt, PlaceCall
+#include "jujubehead/core/routing/placement.hpp" // for PlacePrompt, PlaceByLoad
 
 namespace jujubehead::node {
 namespace {
 
 namespace asio = boost::asio;
-using core::AttemptEnd;
+using core::AttemptOutcome;
 using core::Duration;
 using core::NextStep;
 
@@ -43,18 +43,18 @@
 constexpr double kMinNewestShare = 0.5;
 
 std::string_view
-NameOf(AttemptEnd aEnd)
+NameOf(AttemptOutcome aEnd)
 {
   switch (aEnd) {
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       return "not_sent";
-    case AttemptEnd::kRefused:
+    case AttemptOutcome::kRefused:
       return "refused";
-    case AttemptEnd::kBroken:
+    case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       return "failed";
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kTimedOut:
       break;
   }
   return "timed_out";
@@ -71,7 +71,7 @@
                        m_timed_out = true;
                        CancelExchange();
                      })
-  , m_silence_timer(m_session->Executor(), [this] { OnSilenceTimeout(); })
+  , m_stall_timer(m_session->Executor(), [this] { OnSilenceTimeout(); })
 {
 }
 
@@ -94,7 +94,7 @@
 {
   m_configuration = m_state.configuration;
   const CallerRequest& request = m_session->Request();
-  auto metadata = m_state.dialect.ReadCaller(request.head.headers);
+  auto metadata = m_state.header_codec.ParseCallerHeaders(request.head.headers);
   if (metadata.has_error()) {
     return LocalReply{ kBadRequest, core::Render(metadata.error()), false };
   }
@@ -154,7 +154,7 @@
   }
   m_expires_at = m_session->Request().received_at + limit;
   m_deadline_timer.Set(std::max(TimeLeft(), Duration(1)));
-  m_history.may_repeat = m_route->repeatable;
+  m_history.is_repeatable = m_route->repeatable;
   m_history.max_targets = m_route->max_targets;
 }
 
@@ -181,7 +181,7 @@
 asio::awaitable<void>
 ForwardRun::Forward()
 {
-  AttemptEnd last = AttemptEnd::kNotSent;
+  AttemptOutcome last = AttemptOutcome::kNotSent;
   for (;;) {
     m_history.has_time = TimeLeft() > kMinTimeLeft;
     const auto target = m_history.has_time ? ChooseTarget() : nullptr;
@@ -190,7 +190,7 @@
         m_last_error =
           m_history.has_time ? "no target available" : "no time left";
       }
-      co_await Finish(core::InsteadOfSending(last, m_history));
+      co_await Finish(core::StepWithoutRetry(last, m_history));
       co_return;
     }
     if (!IsWorthSending(*target)) {
@@ -201,9 +201,9 @@
     const bool is_repeat = m_history.sends > 0;
     if (is_repeat) {
       const auto now = core::RuntimeClock::now();
-      if (!m_state.BudgetOf(m_service).TryRepeat(now)) {
+      if (!m_state.BudgetOf(m_service).TryToRetry(now)) {
         m_last_error += ", retry budget exhausted";
-        co_await Finish(core::InsteadOfSending(last, m_history));
+        co_await Finish(core::StepWithoutRetry(last, m_history));
         co_return;
       }
       m_state.metrics.Add(m_session->HasStreamBegun() ? Counter::kResumes
@@ -215,16 +215,16 @@
     }
     last = *ended;
     RecordAttempt(last);
-    const NextStep step = core::AfterAttempt(last, m_history);
+    const NextStep step = core::StepAfterAttempt(last, m_history);
     LogLine line("attempt_ended");
     line.Add("request", m_metadata.request_id)
       .Add("target", m_last_target)
       .Add("end", NameOf(last))
       .Add("why", m_last_error)
-      .Add("again", step == NextStep::kSendAgain ? "yes" : "no");
+      .Add("again", step == NextStep::kRetry ? "yes" : "no");
     AddWeights(line);
     m_state.log.Write(line);
-    if (step != NextStep::kSendAgain) {
+    if (step != NextStep::kRetry) {
       co_await Finish(step);
       co_return;
     }
@@ -232,12 +232,12 @@
 }
 
 void
-ForwardRun::RecordAttempt(AttemptEnd aEnd)
+ForwardRun::RecordAttempt(AttemptOutcome aEnd)
 {
-  if (aEnd != AttemptEnd::kNotSent) {
+  if (aEnd != AttemptOutcome::kNotSent) {
     ++m_history.sends;
   }
-  if (aEnd != AttemptEnd::kNotSent && aEnd != AttemptEnd::kRefused) {
+  if (aEnd != AttemptOutcome::kNotSent && aEnd != AttemptOutcome::kRefused) {
     ++m_history.may_have_run;
   }
   m_history.has_time = !m_timed_out && TimeLeft() > kMinTimeLeft;
@@ -254,7 +254,7 @@
     m_session->Abort();
     co_return;
   }
-  if (aStep == NextStep::kPassOn && m_target_failure) {
+  if (aStep == NextStep::kForwardError && m_target_failure) {
     LogEnd(
       "answered", m_target_failure->status, "target returned a server error");
     FullResponse failure = std::move(*m_target_failure);
@@ -282,7 +282,8 @@
                          aReply.is_retryable);
   FullResponse response;
   response.status = aReply.status;
-  response.headers = m_state.dialect.LinesOfOwnAnswer(m_metadata.request_id);
+  response.headers =
+    m_state.header_codec.LocalReplyHeaders(m_metadata.request_id);
   response.headers.Add("Content-Type", "text/plain");
   if (aReply.is_retryable) {
     std::uniform_int_distribution<std::int64_t> spread(kRetryAfterMinMs,
@@ -439,7 +440,8 @@
     const auto version = target->VersionOf(m_metadata.prompt->model);
     newest = std::max(newest, version.value_or(0));
   }
-  return StorePlaceOf(m_state, *m_metadata.prompt, ScopeFor(newest), m_service);
+  return StoreDataCentreOf(
+    m_state, *m_metadata.prompt, ScopeFor(newest), m_service);
 }
 
 core::CacheScope
@@ -468,18 +470,18 @@
     candidate.name_hash = target->name_hash;
     candidate.load = target->load.Requests(now);
     candidate.is_near = target_data_centre == m_state.options.data_centre;
-    candidate.is_at_store = preferred && target_data_centre == *preferred;
+    candidate.is_near_store = preferred && target_data_centre == *preferred;
     own += target->load.Own();
     all += candidate.load;
     candidates.push_back(candidate);
   }
-  m_state.shares[m_service].OnLook(own, all);
+  m_state.shares[m_service].AddSample(own, all);
   const bool has_home = m_metadata.prompt && !m_metadata.prompt->parts.empty();
   const auto index =
     has_home
       ? core::PlacePrompt(
-          core::PlacementHash(m_metadata.prompt->ReturningPart()), candidates)
-      : core::PlaceCall(m_state.random(), candidates);
+          core::PlacementHash(m_metadata.prompt->AffinityPart()), candidates)
+      : core::PlaceByLoad(m_state.random(), candidates);
   return index ? targets[*index] : nullptr;
 }
 
--- a/src/jujubehead/node/forward/forward_run.hpp
+++ b/src/jujubehead/node/forward/forward_run.hpp
@@ -17,8 +17,8 @@
 
 #include "caller_session.hpp"  // for CallerSession
 #include "forward_state.hpp"   // for ForwardState
-#include "part_places.hpp"     // for PlannedTokens
 #include "target_exchange.hpp" // for TargetExchange
+#include "transfer_plan.hpp"   // for PlannedTokens
 
 namespace jujubehead::node {
 
@@ -35,7 +35,7 @@
 private:
   /// How an attempt failed; nothing when the final response was sent or the
   /// caller has disconnected.
-  using AttemptFailure = std::optional<core::AttemptEnd>;
+  using AttemptFailure = std::optional<core::AttemptOutcome>;
 
   struct LocalReply
   {
@@ -78,12 +78,12 @@
                                const TargetExchange& aExchange);
   AttemptFailure OnRefusal(FleetTarget& aTarget,
                            unsigned aStatus,
-                           const ReplyFacts& aMetadata);
+                           const ReplyMetadata& aMetadata);
   /// @brief Reports to other instances that the target has left its address.
   void PublishGone(const FleetTarget& aTarget);
-  void RecordReply(FleetTarget& aTarget, const ReplyFacts& aMetadata);
-  void RecordAttempt(core::AttemptEnd aEnd);
-  void StartSilenceTimer(const FleetTarget& aTarget);
+  void RecordReply(FleetTarget& aTarget, const ReplyMetadata& aMetadata);
+  void RecordAttempt(core::AttemptOutcome aEnd);
+  void StartStallTimer(const FleetTarget& aTarget);
   void OnSilenceTimeout();
   /// @return the time until no request may start on a target's weights. The
   /// target enforces it, as this instance may have exited by then.
@@ -108,7 +108,7 @@
   const core::Route* m_route = nullptr;
   const core::DeclaredAccount* m_account = nullptr;
   core::ServiceId m_service;
-  CallerFacts m_metadata;
+  CallerMetadata m_metadata;
   core::Instant m_expires_at{};
   core::AttemptHistory m_history;
   std::set<core::TargetId> m_tried_targets;
@@ -125,14 +125,14 @@
   std::optional<std::uint64_t> m_last_weights;
 
   net::Deadline m_deadline_timer;
-  net::Deadline m_silence_timer;
+  net::Deadline m_stall_timer;
 
   TargetExchange* m_exchange = nullptr; ///< In progress.
   std::shared_ptr<FleetTarget> m_awaited_target;
   core::Instant m_awaiting_since{};
   bool m_timed_out = false;
-  bool m_silence_timed_out = false; ///< In the current attempt.
-  bool m_is_streaming = false;      ///< Counted in the target's active_streams.
+  bool m_stall_timed_out = false; ///< In the current attempt.
+  bool m_is_streaming = false;    ///< Counted in the target's active_streams.
 };
 
 } // namespace jujubehead::node
