--- a/src/jujubehead/node/forward/forward_state.hpp
+++ b/src/jujubehead/node/forward/forward_state.hpp
@@ -8,17 +8,17 @@
 #include <string>        // for string
 #include <unordered_map> // for unordered_map
 
-#include "jujubehead/core/context/part_directory.hpp" // for PartDirectory
-#include "jujubehead/core/context/part_uses.hpp"      // for PartUses
-#include "jujubehead/core/context/store_link.hpp"     // for StoreLink
-#include "jujubehead/core/routing/admission.hpp"      // for WaitPredictor
-#include "jujubehead/core/routing/configuration.hpp"  // for Configuration
-#include "jujubehead/core/routing/load_news.hpp"      // for LoadNews
-#include "jujubehead/core/routing/repeat_budget.hpp"  // for RepeatBudget
-#include "jujubehead/core/weights/rollout.hpp"        // for WantedWeights
-#include "jujubehead/node/forward/dialect.hpp"        // for Dialect
-#include "jujubehead/node/forward/entry_options.hpp"  // for EntryOptions
-#include "jujubehead/node/metrics.hpp"                // for ThreadMetrics
+#include "jujubehead/core/context/part_directory.hpp"    // for PartDirectory
+#include "jujubehead/core/context/prefix_popularity.hpp" // for PrefixPopularity
+#include "jujubehead/core/context/store_link.hpp"        // for StoreLink
+#include "jujubehead/core/routing/admission.hpp"         // for WaitPredictor
+#include "jujubehead/core/routing/configuration.hpp"     // for Configuration
+#include "jujubehead/core/routing/load_reports.hpp"      // for LoadReports
+#include "jujubehead/core/routing/windowed_retry_budget.hpp" // for WindowedRetryBudget
+#include "jujubehead/core/weights/rollout.hpp"       // for DesiredWeights
+#include "jujubehead/node/forward/entry_options.hpp" // for EntryOptions
+#include "jujubehead/node/forward/header_codec.hpp"  // for HeaderCodec
+#include "jujubehead/node/metrics.hpp"               // for ThreadMetrics
 
 #include "decision_log.hpp" // for DecisionLog
 #include "target_clock.hpp" // for TargetClock
@@ -31,11 +31,11 @@
 struct ForwardState
 {
   ForwardState(const EntryOptions& aOptions,
-               const Dialect& aDialect,
+               const HeaderCodec& aHeaderCodec,
                ThreadMetrics& aMetrics,
                DecisionLog& aLog)
     : options(aOptions)
-    , dialect(aDialect)
+    , header_codec(aHeaderCodec)
     , metrics(aMetrics)
     , log(aLog)
     , random(std::random_device{}())
@@ -43,25 +43,25 @@
   }
 
   /// @return the retry budget of a service.
-  core::RepeatBudget& BudgetOf(const core::ServiceId& aService)
+  core::WindowedRetryBudget& BudgetOf(const core::ServiceId& aService)
   {
     return budgets.try_emplace(aService, options.repeats).first->second;
   }
 
   const EntryOptions& options;
-  const Dialect& dialect;
+  const HeaderCodec& header_codec;
   ThreadMetrics& metrics;
   DecisionLog& log;
   std::shared_ptr<const core::Configuration> configuration;
-  std::map<core::ModelId, core::WantedWeights> wanted_weights;
+  std::map<core::ModelId, core::DesiredWeights> wanted_weights;
   TargetFleet fleet;
   bool shares_loads = false; ///< Whether other instances ask for loads.
-  core::LoadNews pending_load_reports; ///< Not sent to them yet.
+  core::LoadReports pending_load_reports; ///< Not sent to them yet.
   core::PartDirectory parts;
-  std::unordered_map<core::ServiceId, core::RepeatBudget> budgets;
+  std::unordered_map<core::ServiceId, core::WindowedRetryBudget> budgets;
   /// By route name.
   std::unordered_map<std::string, core::WaitPredictor> waits;
-  core::PartUses part_uses;
+  core::PrefixPopularity part_uses;
   /// One for all stores with the same link rate: parts spread evenly over them,
   /// and one instance sees too little of a single store's traffic for an
   /// estimate.
@@ -69,7 +69,7 @@
   std::unordered_map<core::ServiceId, core::TrafficShare> shares;
   std::mt19937_64 random;
   TargetClock target_clock;
-  core::Instant operator_heard{}; ///< Last read of the operator's rows.
+  core::Instant last_operator_contact{}; ///< Last read of the operator's rows.
   bool is_stopping = false;
   /// Exit time of a stopping instance.
   core::Instant exits_at = core::Instant::max();
--- a/src/jujubehead/node/forward/forwarder.cpp
+++ b/src/jujubehead/node/forward/forwarder.cpp
@@ -25,9 +25,9 @@
 } // namespace
 
 Forwarder::Forwarder(const EntryOptions& aOptions,
-                     const Dialect& aDialect,
+                     const HeaderCodec& aHeaderCodec,
                      Metrics& aMetrics)
-  : m_state(aOptions, aDialect, aMetrics.ForThread(), m_log)
+  : m_state(aOptions, aHeaderCodec, aMetrics.ForThread(), m_log)
   , m_acceptor(m_context, ReadEndpoint(aOptions.caller_address))
   , m_work_guard(asio::make_work_guard(m_context))
 {
@@ -110,7 +110,7 @@
     if (!m_acceptor.is_open()) {
       co_return;
     }
-    DecisionLog::WriteAlways(
+    DecisionLog::WriteUnthrottled(
       LogLine("accept_failed").Add("why", error.message()));
     co_await net::Sleep(kAcceptPause);
   }
@@ -198,7 +198,7 @@
 
 void
 Forwarder::SetWantedWeights(
-  std::map<core::ModelId, core::WantedWeights> aWanted)
+  std::map<core::ModelId, core::DesiredWeights> aWanted)
 {
   asio::post(m_context, [this, wanted = std::move(aWanted)] {
     m_state.wanted_weights = wanted;
@@ -206,7 +206,7 @@
 }
 
 void
-Forwarder::SetLoaded(core::TargetId aTarget, core::LoadedModel aLoaded)
+Forwarder::OnWeightsLoaded(core::TargetId aTarget, core::LoadedModel aLoaded)
 {
   asio::post(m_context,
              [this, id = std::move(aTarget), loaded = std::move(aLoaded)] {
@@ -233,7 +233,7 @@
 }
 
 void
-Forwarder::ForgetParts(core::SupersededScopes aScopes)
+Forwarder::DropParts(core::SupersededScopes aScopes)
 {
   asio::post(m_context, [this, scopes = std::move(aScopes)]() mutable {
     m_state.parts.DropWhere(
@@ -243,14 +243,14 @@
 
 void
 Forwarder::ExchangeLoads(
-  std::vector<core::HeardLoad> aReports,
-  std::function<void(std::vector<core::HeardLoad>)> aOnPending)
+  std::vector<core::TargetLoadReport> aReports,
+  std::function<void(std::vector<core::TargetLoadReport>)> aOnPending)
 {
   asio::post(
     m_context,
     [this, reports = std::move(aReports), on_pending = std::move(aOnPending)] {
       const core::Instant now = core::RuntimeClock::now();
-      for (const core::HeardLoad& report : reports) {
+      for (const core::TargetLoadReport& report : reports) {
         if (const auto target = m_state.fleet.FindByKey(report.target)) {
           target->OnReport(report, now);
         }
@@ -261,18 +261,19 @@
 }
 
 void
-Forwarder::OnOperatorHeard(core::Instant aWhen)
+Forwarder::OnOperatorContact(core::Instant aWhen)
 {
   asio::post(m_context, [this, aWhen] {
-    m_state.operator_heard = std::max(m_state.operator_heard, aWhen);
+    m_state.last_operator_contact =
+      std::max(m_state.last_operator_contact, aWhen);
   });
 }
 
 void
-Forwarder::OnStoreSilent(core::StoreId aStore)
+Forwarder::OnStoreUnreachable(core::StoreId aStore)
 {
   asio::post(m_context, [this, store = std::move(aStore)] {
-    m_state.parts.OnSilence(store);
+    m_state.parts.OnNoResponse(store);
   });
 }
 
--- a/src/jujubehead/node/forward/forwarder.hpp
+++ b/src/jujubehead/node/forward/forwarder.hpp
@@ -12,12 +12,12 @@
 #include <boost/asio/io_context.hpp>          // for io_context
 #include <boost/asio/ip/tcp.hpp>              // for tcp
 
-#include "jujubehead/core/context/part_directory.hpp" // for PartEventPage
-#include "jujubehead/core/routing/configuration.hpp"  // for Configuration
-#include "jujubehead/core/routing/target_book.hpp"    // for RegisteredTarget
+#include "jujubehead/core/context/part_directory.hpp"   // for PartEventPage
+#include "jujubehead/core/routing/configuration.hpp"    // for Configuration
+#include "jujubehead/core/routing/target_directory.hpp" // for RegisteredTarget
 #include "jujubehead/core/weights/superseded_versions.hpp" // for Superseded...
-#include "jujubehead/node/forward/dialect.hpp"             // for Dialect
 #include "jujubehead/node/forward/entry_options.hpp"       // for EntryOptions
+#include "jujubehead/node/forward/header_codec.hpp"        // for HeaderCodec
 
 #include "caller_session.hpp" // for RequestHandler
 #include "forward_state.hpp"  // for ForwardState
@@ -31,7 +31,7 @@
 public:
   /// @throws boost::system::system_error when the address cannot be bound.
   Forwarder(const EntryOptions& aOptions,
-            const Dialect& aDialect,
+            const HeaderCodec& aHeaderCodec,
             Metrics& aMetrics);
   ~Forwarder() override;
   Forwarder(const Forwarder&) = delete;
@@ -54,22 +54,22 @@
   void SetConfiguration(std::shared_ptr<const core::Configuration> aValue);
   void SetTargets(std::vector<core::RegisteredTarget> aTargets);
   void SetLoading(std::set<core::TargetId> aTargets);
-  void SetWantedWeights(std::map<core::ModelId, core::WantedWeights> aWanted);
+  void SetWantedWeights(std::map<core::ModelId, core::DesiredWeights> aWanted);
   /// @brief Records that a version of a model has been loaded at a target.
-  void SetLoaded(core::TargetId aTarget, core::LoadedModel aLoaded);
+  void OnWeightsLoaded(core::TargetId aTarget, core::LoadedModel aLoaded);
   void OnPartEvents(core::StoreId aStore,
                     core::PartEventPage aPage,
                     core::Instant aReceivedAt);
   /// @brief Drops the parts of superseded scopes from the directory.
-  void ForgetParts(core::SupersededScopes aScopes);
+  void DropParts(core::SupersededScopes aScopes);
   /// @brief Applies load reports of other instances and passes on those that
   /// this one collected since the last call.
   /// @param aOnPending called on the traffic thread.
   void ExchangeLoads(
-    std::vector<core::HeardLoad> aReports,
-    std::function<void(std::vector<core::HeardLoad>)> aOnPending);
-  void OnStoreSilent(core::StoreId aStore);
-  void OnOperatorHeard(core::Instant aWhen);
+    std::vector<core::TargetLoadReport> aReports,
+    std::function<void(std::vector<core::TargetLoadReport>)> aOnPending);
+  void OnStoreUnreachable(core::StoreId aStore);
+  void OnOperatorContact(core::Instant aWhen);
 
   boost::asio::awaitable<void> Handle(
     std::shared_ptr<CallerSession> aSession) override;
--- a/src/jujubehead/node/forward/store_look.cpp
+++ b/src/jujubehead/node/forward/store_index.cpp
@@ -1,4 +1,4 @@
-#include "store_look.hpp"
+#include "store_index.hpp"
 
 #include <algorithm> // for count_if
 
@@ -11,17 +11,17 @@
 /// blocks, and other writes may be in flight.
 constexpr double kFullFraction = 0.93;
 
-std::vector<core::StoreFacts>
+std::vector<core::StorePlacementInput>
 FactsOf(const std::vector<core::DeclaredStore>& aStores)
 {
-  std::vector<core::StoreFacts> facts;
+  std::vector<core::StorePlacementInput> facts;
   facts.reserve(aStores.size());
   for (const core::DeclaredStore& store : aStores) {
-    core::StoreFacts one;
+    core::StorePlacementInput one;
     one.name_hash = core::PlacementHash(store.id.View());
     one.data_centre = store.data_centre.View();
     one.capacity_tokens = static_cast<double>(store.capacity_tokens);
-    one.rate = StoreLookup::LinkRateOf(store);
+    one.rate = StoreIndex::LinkRateOf(store);
     facts.push_back(one);
   }
   return facts;
@@ -29,9 +29,9 @@
 
 } // namespace
 
-StoreLookup::StoreLookup(const ForwardState& aState,
-                         std::string_view aScope,
-                         const core::ServiceId& aService)
+StoreIndex::StoreIndex(const ForwardState& aState,
+                       std::string_view aScope,
+                       const core::ServiceId& aService)
   : m_state(aState)
   , m_stores(aState.configuration->All().stores)
   , m_facts(FactsOf(m_stores))
@@ -44,13 +44,13 @@
 }
 
 core::LinkRate
-StoreLookup::LinkRateOf(const core::DeclaredStore& aStore)
+StoreIndex::LinkRateOf(const core::DeclaredStore& aStore)
 {
-  return { aStore.bytes_per_second, aStore.first_delay };
+  return { aStore.bytes_per_second, aStore.base_latency };
 }
 
 std::size_t
-StoreLookup::CountWithSameLink(const core::DeclaredStore& aStore) const
+StoreIndex::CountWithSameLink(const core::DeclaredStore& aStore) const
 {
   const core::LinkRate rate = LinkRateOf(aStore);
   return static_cast<std::size_t>(std::count_if(
@@ -60,45 +60,45 @@
 }
 
 bool
-StoreLookup::HasPart(const core::DeclaredStore& aStore,
-                     const core::PromptPart& aPart) const
+StoreIndex::HasPart(const core::DeclaredStore& aStore,
+                    const core::PromptPart& aPart) const
 {
   return m_state.parts.TokensAt(aStore.id, m_scope, aPart.id, m_now) >=
          aPart.tokens;
 }
 
 bool
-StoreLookup::HasRoom(const core::DeclaredStore& aStore,
-                     const core::PromptPart& aPart) const
+StoreIndex::HasRoom(const core::DeclaredStore& aStore,
+                    const core::PromptPart& aPart) const
 {
   const auto tokens =
-    static_cast<double>(m_state.parts.TokensKept(aStore.id) + aPart.tokens);
-  return m_state.parts.IsPresent(aStore.id, m_now) &&
+    static_cast<double>(m_state.parts.TokensStored(aStore.id) + aPart.tokens);
+  return m_state.parts.IsReachable(aStore.id, m_now) &&
          tokens <= kFullFraction * static_cast<double>(aStore.capacity_tokens);
 }
 
 core::TransferSize
-StoreLookup::TransferSizeOf(const core::PromptPart& aPart, bool aIsFar) const
+StoreIndex::TransferSizeOf(const core::PromptPart& aPart, bool aIsFar) const
 {
   return { aPart.tokens, m_token_bytes, aIsFar };
 }
 
 core::Duration
-StoreLookup::LinkTime(const core::DeclaredStore& aStore,
-                      const core::PromptPart& aPart,
-                      const core::DataCentreId& aDataCentre) const
+StoreIndex::LinkTime(const core::DeclaredStore& aStore,
+                     const core::PromptPart& aPart,
+                     const core::DataCentreId& aDataCentre) const
 {
   const bool is_far = aStore.data_centre != aDataCentre;
   return core::LinkTime(TransferSizeOf(aPart, is_far), LinkRateOf(aStore));
 }
 
 PartHome
-StoreLookup::FindHome(const core::PromptPart& aPart,
-                      const core::DataCentreId& aDataCentre) const
+StoreIndex::FindHome(const core::PromptPart& aPart,
+                     const core::DataCentreId& aDataCentre) const
 {
   PartHome home;
   std::size_t kind = 0;
-  const auto homes = core::StoreHomes(
+  const auto homes = core::SelectHomeStores(
     core::PlacementHash(aPart.id), TransferSizeOf(aPart, false), m_facts);
   for (const core::StoreHome& one : homes) {
     const core::DeclaredStore& store = m_stores[one.index];
@@ -115,8 +115,8 @@
 }
 
 const core::DeclaredStore*
-StoreLookup::FastestStore(const core::PromptPart& aPart,
-                          const core::DataCentreId& aDataCentre) const
+StoreIndex::FastestStore(const core::PromptPart& aPart,
+                         const core::DataCentreId& aDataCentre) const
 {
   const core::DeclaredStore* fastest = nullptr;
   core::Duration shortest{};
@@ -125,7 +125,7 @@
       continue;
     }
     const core::Duration time =
-      LinkTime(store, aPart, aDataCentre) + store.first_delay;
+      LinkTime(store, aPart, aDataCentre) + store.base_latency;
     if (fastest == nullptr || time < shortest) {
       fastest = &store;
       shortest = time;
--- a/src/jujubehead/node/forward/store_look.hpp
+++ b/src/jujubehead/node/forward/store_index.hpp
@@ -1,13 +1,13 @@
-#ifndef JUJUBEHEAD_NODE_FORWARD_STORE_LOOK_HPP
-#define JUJUBEHEAD_NODE_FORWARD_STORE_LOOK_HPP
+#ifndef JUJUBEHEAD_NODE_FORWARD_STORE_INDEX_HPP
+#define JUJUBEHEAD_NODE_FORWARD_STORE_INDEX_HPP
 
 #include <cstdint>     // for uint64_t
 #include <string_view> // for string_view
 #include <vector>      // for vector
 
-#include "jujubehead/core/context/prompt.hpp"        // for PromptPart
-#include "jujubehead/core/context/store_homes.hpp"   // for StoreFacts
-#include "jujubehead/core/routing/configuration.hpp" // for DeclaredStore
+#include "jujubehead/core/context/prompt.hpp"          // for PromptPart
+#include "jujubehead/core/context/store_placement.hpp" // for StorePlacementInput
+#include "jujubehead/core/routing/configuration.hpp"   // for DeclaredStore
 
 #include "forward_state.hpp" // for ForwardState
 
@@ -22,12 +22,12 @@
 
 /// @brief Looks up the stores for the parts of one prompt. Holds references to
 /// its arguments, which must outlive it.
-class StoreLookup
+class StoreIndex
 {
 public:
-  StoreLookup(const ForwardState& aState,
-              std::string_view aScope,
-              const core::ServiceId& aService);
+  StoreIndex(const ForwardState& aState,
+             std::string_view aScope,
+             const core::ServiceId& aService);
 
   /// @return whether a store has all tokens of a part.
   [[nodiscard]] bool HasPart(const core::DeclaredStore& aStore,
@@ -60,7 +60,7 @@
 
   const ForwardState& m_state;
   const std::vector<core::DeclaredStore>& m_stores;
-  std::vector<core::StoreFacts> m_facts;
+  std::vector<core::StorePlacementInput> m_facts;
   std::string_view m_scope;
   std::uint64_t m_token_bytes = 0;
   core::Instant m_now;
@@ -68,4 +68,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_FORWARD_STORE_LOOK_HPP
+#endif // JUJUBEHEAD_NODE_FORWARD_STORE_INDEX_HPP
--- a/src/jujubehead/node/forward/target_exchange.cpp
+++ b/src/jujubehead/node/forward/target_exchange.cpp
@@ -17,11 +17,11 @@
 } // namespace
 
 TargetExchange::TargetExchange(const asio::any_io_executor& aExecutor,
-                               const Dialect& aDialect,
+                               const HeaderCodec& aHeaderCodec,
                                std::shared_ptr<FleetTarget> aTarget,
                                ExchangeOptions aOptions)
   : m_executor(aExecutor)
-  , m_dialect(aDialect)
+  , m_header_codec(aHeaderCodec)
   , m_target(std::move(aTarget))
   , m_options(std::move(aOptions))
 {
@@ -156,7 +156,7 @@
       StartReply();
       continue;
     }
-    m_metadata = m_dialect.ReadReply(m_parser->Head());
+    m_metadata = m_header_codec.ParseReplyHeaders(m_parser->Head());
     const Owner owner = OwnerOfReply();
     if (owner == Owner::kThis) {
       co_return Progress();
--- a/src/jujubehead/node/forward/target_exchange.hpp
+++ b/src/jujubehead/node/forward/target_exchange.hpp
@@ -9,7 +9,7 @@
 
 #include "jujubehead/net/http1/message_parser.hpp"      // for MessageParser
 #include "jujubehead/net/http1/outbound_connection.hpp" // for OutboundConnection
-#include "jujubehead/node/forward/dialect.hpp"          // for Dialect
+#include "jujubehead/node/forward/header_codec.hpp"     // for HeaderCodec
 
 #include "target_fleet.hpp" // for FleetTarget
 
@@ -43,7 +43,7 @@
 {
 public:
   TargetExchange(const boost::asio::any_io_executor& aExecutor,
-                 const Dialect& aDialect,
+                 const HeaderCodec& aHeaderCodec,
                  std::shared_ptr<FleetTarget> aTarget,
                  ExchangeOptions aOptions);
   ~TargetExchange();
@@ -67,7 +67,7 @@
   {
     return m_parser->Head();
   }
-  [[nodiscard]] const ReplyFacts& Metadata() const { return m_metadata; }
+  [[nodiscard]] const ReplyMetadata& Metadata() const { return m_metadata; }
   /// @return received bytes of the body that were not consumed yet.
   [[nodiscard]] std::string& Body() { return m_body; }
   [[nodiscard]] bool IsOnNewConnection() const { return m_is_new; }
@@ -96,12 +96,12 @@
   void ReleaseConnection();
 
   boost::asio::any_io_executor m_executor;
-  const Dialect& m_dialect;
+  const HeaderCodec& m_header_codec;
   std::shared_ptr<FleetTarget> m_target;
   ExchangeOptions m_options;
   std::shared_ptr<net::OutboundConnection> m_connection;
   std::unique_ptr<net::MessageParser> m_parser;
-  ReplyFacts m_metadata;
+  ReplyMetadata m_metadata;
   std::string m_body;
   std::string m_error;
   bool m_is_new = false;
--- a/src/jujubehead/node/forward/target_fleet.cpp
+++ b/src/jujubehead/node/forward/target_fleet.cpp
@@ -32,17 +32,17 @@
 }
 
 void
-FleetTarget::OnReport(const core::HeardLoad& aReport, core::Instant aNow)
+FleetTarget::OnReport(const core::TargetLoadReport& aReport, core::Instant aNow)
 {
   if (!aReport.is_gone) {
-    load.OnTold(aReport.load, aReport.heard);
+    load.OnRelayedReport(aReport.load, aReport.reported_at);
     return;
   }
   // The same report arrives several times.
-  if (aReport.heard <= std::max(last_response_at, last_gone_report_at)) {
+  if (aReport.reported_at <= std::max(last_response_at, last_gone_report_at)) {
     return;
   }
-  last_gone_report_at = aReport.heard;
+  last_gone_report_at = aReport.reported_at;
   if (health.IsUsable(aNow)) {
     health.OnUnreachable(aNow);
   }
@@ -132,7 +132,7 @@
     std::shared_ptr<FleetTarget> known;
     const auto found = before.find(target.id);
     if (found != before.end() && found->second->endpoint == *endpoint &&
-        found->second->target.born_ms == target.born_ms) {
+        found->second->target.started_ms == target.started_ms) {
       known = std::move(found->second);
       before.erase(found);
     } else {
@@ -140,7 +140,7 @@
       known->name_hash = core::PlacementHash(target.id.View());
       auto& usual = m_usual[target.service];
       if (!usual) {
-        usual = std::make_shared<core::UsualLoad>();
+        usual = std::make_shared<core::ServiceLoadAverage>();
       }
       known->load = core::LoadEstimate(usual);
       known->endpoint = *endpoint;
--- a/src/jujubehead/node/forward/target_fleet.hpp
+++ b/src/jujubehead/node/forward/target_fleet.hpp
@@ -12,8 +12,8 @@
 #include <boost/asio/ip/tcp.hpp> // for tcp
 
 #include "jujubehead/core/routing/load_estimate.hpp"    // for LoadEstimate
-#include "jujubehead/core/routing/load_news.hpp"        // for HeardLoad
-#include "jujubehead/core/routing/target_book.hpp"      // for RegisteredTarget
+#include "jujubehead/core/routing/load_reports.hpp"     // for TargetLoadReport
+#include "jujubehead/core/routing/target_directory.hpp" // for RegisteredTarget
 #include "jujubehead/core/routing/target_health.hpp"    // for TargetHealth
 #include "jujubehead/net/http1/outbound_connection.hpp" // for OutboundConnection
 
@@ -39,7 +39,7 @@
     const core::ModelId& aModel) const;
   /// @brief Applies another instance's report. A report that the target is gone
   /// counts only if it is newer than the last response to this instance.
-  void OnReport(const core::HeardLoad& aReport, core::Instant aNow);
+  void OnReport(const core::TargetLoadReport& aReport, core::Instant aNow);
   /// @brief Records a version that the target holds.
   void OnVersion(const core::ModelId& aModel, std::uint64_t aVersion);
 
@@ -81,7 +81,8 @@
     m_by_service;
   std::unordered_map<core::TargetKey, std::shared_ptr<FleetTarget>> m_by_key;
   std::set<core::TargetId> m_loading;
-  std::unordered_map<core::ServiceId, std::shared_ptr<core::UsualLoad>> m_usual;
+  std::unordered_map<core::ServiceId, std::shared_ptr<core::ServiceLoadAverage>>
+    m_usual;
 };
 
 } // namespace jujubehead::node
--- a/src/jujubehead/node/forward/target_fleet_test.cpp
+++ b/src/jujubehead/node/forward/target_fleet_test.cpp
@@ -12,10 +12,10 @@
 
 const core::Instant kNow = core::Instant(std::chrono::hours(1));
 
-core::HeardLoad
+core::TargetLoadReport
 GoneReport(core::Instant aNow)
 {
-  return core::GoneTarget(core::TargetId("t"), aNow);
+  return core::GoneTargetReport(core::TargetId("t"), aNow);
 }
 
 /// Simulates 295 instances that send 1,738 requests per second for two seconds
--- a/src/jujubehead/node/forward/target_message.cpp
+++ b/src/jujubehead/node/forward/target_message.cpp
@@ -72,7 +72,7 @@
 } // namespace
 
 std::string
-FormatTargetRequest(const Dialect& aDialect,
+FormatTargetRequest(const HeaderCodec& aHeaderCodec,
                     const CallerRequest& aRequest,
                     const TargetCall& aCall)
 {
@@ -83,13 +83,13 @@
   text.append(" HTTP/1.1\r\n");
   for (const net::HttpHeader& line : head.headers.Lines()) {
     const bool is_dropped =
-      IsHopByHop(line.name) || aDialect.IsSetHere(line.name) ||
-      (ContainsName(line.name, named) && !aDialect.BelongsToRequest(line.name));
+      IsHopByHop(line.name) || aHeaderCodec.IsReserved(line.name) ||
+      (ContainsName(line.name, named) && !aHeaderCodec.IsEndToEnd(line.name));
     if (!is_dropped) {
       text.append(line.name).append(": ").append(line.value).append("\r\n");
     }
   }
-  AppendHeaders(text, aDialect.LinesOf(aCall));
+  AppendHeaders(text, aHeaderCodec.CallHeaders(aCall));
   if (aRequest.has_body) {
     text.append("Content-Length: ")
       .append(std::to_string(aRequest.body.size()))
--- a/src/jujubehead/node/forward/target_message.hpp
+++ b/src/jujubehead/node/forward/target_message.hpp
@@ -3,7 +3,7 @@
 
 #include <string> // for string
 
-#include "jujubehead/node/forward/dialect.hpp" // for Dialect, TargetCall
+#include "jujubehead/node/forward/header_codec.hpp" // for HeaderCodec, TargetCall
 
 #include "caller_session.hpp" // for CallerRequest
 
@@ -13,7 +13,7 @@
 /// are unchanged; the system's own header lines replace any that the caller
 /// sent under their names.
 std::string
-FormatTargetRequest(const Dialect& aDialect,
+FormatTargetRequest(const HeaderCodec& aHeaderCodec,
                     const CallerRequest& aRequest,
                     const TargetCall& aCall);
 
--- a/src/jujubehead/node/forward/part_places.cpp
+++ b/src/jujubehead/node/forward/transfer_plan.cpp
@@ -1,13 +1,13 @@
-#include "part_places.hpp"
+#include "transfer_plan.hpp"
 
 #include <algorithm> // for max
 #include <string>    // for string
 #include <vector>    // for vector
 
-#include "jujubehead/core/routing/placement.hpp" // for WeightedHome
+#include "jujubehead/core/routing/placement.hpp" // for WeightedOwner
 
 #include "../reading_times.hpp" // for kHearTime, kReadTime
-#include "store_look.hpp"       // for StoreLookup
+#include "store_index.hpp"      // for StoreIndex
 
 namespace jujubehead::node {
 
@@ -40,7 +40,7 @@
              const core::CacheScope& aScope,
              core::Instant aNow)
 {
-  if (aNow - aState.operator_heard > kHearTime) {
+  if (aNow - aState.last_operator_contact > kHearTime) {
     return false;
   }
   const auto wanted = aState.wanted_weights.find(aScope.model);
@@ -100,7 +100,7 @@
   /// used; null otherwise.
   const core::DeclaredStore* FastestStoreIfHot(const core::PromptPart& aPart)
   {
-    const double uses = m_state.part_uses.OnUse(aPart.id, m_now);
+    const double uses = m_state.part_uses.CountUse(aPart.id, m_now);
     return uses >= kHotUsesPerSecond * m_share
              ? m_lookup.FastestStore(aPart, m_data_centre)
              : nullptr;
@@ -112,20 +112,20 @@
     core::StoreLink& links; ///< Of all stores with the same link rate.
     double share = 0;       ///< This instance's share of them.
     core::Duration link_time{};
-    core::TransferOffer offer;
+    core::TransferEstimate offer;
   };
 
   Transfer TransferOf(const core::DeclaredStore& aStore,
                       const core::PromptPart& aPart)
   {
     Transfer transfer{
-      m_state.links[StoreLookup::LinkRateOf(aStore)], 0, {}, {}
+      m_state.links[StoreIndex::LinkRateOf(aStore)], 0, {}, {}
     };
     transfer.share =
       m_share * static_cast<double>(m_lookup.CountWithSameLink(aStore));
     transfer.link_time = m_lookup.LinkTime(aStore, aPart, m_data_centre);
     transfer.offer.wait = transfer.links.Wait(transfer.share, m_now);
-    transfer.offer.transfer = transfer.link_time + aStore.first_delay;
+    transfer.offer.transfer = transfer.link_time + aStore.base_latency;
     transfer.offer.objective = m_objective;
     m_planned.link_wait = std::max(m_planned.link_wait, transfer.offer.wait);
     return transfer;
@@ -141,7 +141,7 @@
                   std::size_t aIndex)
   {
     const Transfer transfer = TransferOf(aStore, aPart);
-    if (!core::IsWorthReading(transfer.offer)) {
+    if (!core::ShouldRead(transfer.offer)) {
       m_planned.skipped += aPart.tokens;
       m_planned.recomputed += aPart.tokens;
       return;
@@ -156,10 +156,10 @@
                  std::size_t aIndex)
   {
     const Transfer transfer = TransferOf(aStore, aPart);
-    if (!core::IsWorthKeeping(transfer.offer)) {
+    if (!core::ShouldWrite(transfer.offer)) {
       return;
     }
-    m_call.keep_at[aIndex] = { aStore.address, aPart.tokens };
+    m_call.store_at[aIndex] = { aStore.address, aPart.tokens };
     m_planned.to_store += aPart.tokens;
     Reserve(transfer);
   }
@@ -168,7 +168,7 @@
   const core::DataCentreId& m_data_centre; ///< Of the target.
   core::Duration m_objective;
   TargetCall& m_call;
-  StoreLookup m_lookup;
+  StoreIndex m_lookup;
   double m_share;
   core::Instant m_now;
   PlannedTokens m_planned;
@@ -177,12 +177,12 @@
 } // namespace
 
 PlannedTokens
-PlaceParts(ForwardState& aState,
-           const core::Prompt& aPrompt,
-           const core::CacheScope& aScope,
-           const FleetTarget& aTarget,
-           core::Duration aObjective,
-           TargetCall& aCall)
+PlanTransfers(ForwardState& aState,
+              const core::Prompt& aPrompt,
+              const core::CacheScope& aScope,
+              const FleetTarget& aTarget,
+              core::Duration aObjective,
+              TargetCall& aCall)
 {
   const core::Instant now = core::RuntimeClock::now();
   const auto read_until = aState.target_clock.At(now + kReadTime);
@@ -190,9 +190,9 @@
       !MayUseStores(aState, aScope, now)) {
     return {};
   }
-  aCall.read_until_ms = read_until;
+  aCall.read_deadline_ms = read_until;
   aCall.read_from.resize(aPrompt.parts.size());
-  aCall.keep_at.resize(aPrompt.parts.size());
+  aCall.store_at.resize(aPrompt.parts.size());
   TransferPlanner planner(aState, aTarget, aObjective, aCall);
   for (std::size_t i = 0; i + 1 < aPrompt.parts.size(); ++i) {
     planner.Plan(aPrompt.parts[i], i);
@@ -201,16 +201,16 @@
 }
 
 std::optional<core::DataCentreId>
-StorePlaceOf(const ForwardState& aState,
-             const core::Prompt& aPrompt,
-             const core::CacheScope& aScope,
-             const core::ServiceId& aService)
+StoreDataCentreOf(const ForwardState& aState,
+                  const core::Prompt& aPrompt,
+                  const core::CacheScope& aScope,
+                  const core::ServiceId& aService)
 {
   if (!HasSharedParts(aState, aPrompt)) {
     return std::nullopt;
   }
   const std::string scope = core::ToText(aScope);
-  const StoreLookup lookup(aState, scope, aService);
+  const StoreIndex lookup(aState, scope, aService);
   const core::PromptPart& part = aPrompt.parts[aPrompt.parts.size() - 2];
   const core::DataCentreId other_data_centre;
   const PartHome home = lookup.FindHome(part, other_data_centre);
@@ -241,7 +241,7 @@
     homes.push_back(home);
   }
   const auto index =
-    core::WeightedHome(core::PlacementHash(aPrompt.ReturningPart()), homes);
+    core::WeightedOwner(core::PlacementHash(aPrompt.AffinityPart()), homes);
   if (!index || targets[*index].get() == &aTarget) {
     return;
   }
--- a/src/jujubehead/node/forward/part_places.hpp
+++ b/src/jujubehead/node/forward/transfer_plan.hpp
@@ -1,12 +1,12 @@
-#ifndef JUJUBEHEAD_NODE_FORWARD_PART_PLACES_HPP
-#define JUJUBEHEAD_NODE_FORWARD_PART_PLACES_HPP
+#ifndef JUJUBEHEAD_NODE_FORWARD_TRANSFER_PLAN_HPP
+#define JUJUBEHEAD_NODE_FORWARD_TRANSFER_PLAN_HPP
 
 #include <cstdint>  // for uint64_t
 #include <optional> // for optional
 
-#include "jujubehead/core/context/cache_scope.hpp" // for CacheScope
-#include "jujubehead/core/context/prompt.hpp"      // for Prompt
-#include "jujubehead/node/forward/dialect.hpp"     // for TargetCall
+#include "jujubehead/core/context/cache_scope.hpp"  // for CacheScope
+#include "jujubehead/core/context/prompt.hpp"       // for Prompt
+#include "jujubehead/node/forward/header_codec.hpp" // for TargetCall
 
 #include "forward_state.hpp" // for ForwardState
 
@@ -32,21 +32,21 @@
 /// Planned transfers count as load on the store's link from then on.
 /// @param aObjective of the request, to its first token.
 PlannedTokens
-PlaceParts(ForwardState& aState,
-           const core::Prompt& aPrompt,
-           const core::CacheScope& aScope,
-           const FleetTarget& aTarget,
-           core::Duration aObjective,
-           TargetCall& aCall);
+PlanTransfers(ForwardState& aState,
+              const core::Prompt& aPrompt,
+              const core::CacheScope& aScope,
+              const FleetTarget& aTarget,
+              core::Duration aObjective,
+              TargetCall& aCall);
 
 /// @return the data centre of the store that has a prompt's returning part, if
 /// reading it from another data centre would take notably longer; nothing
 /// otherwise, as reads should spread over all targets.
 std::optional<core::DataCentreId>
-StorePlaceOf(const ForwardState& aState,
-             const core::Prompt& aPrompt,
-             const core::CacheScope& aScope,
-             const core::ServiceId& aService);
+StoreDataCentreOf(const ForwardState& aState,
+                  const core::Prompt& aPrompt,
+                  const core::CacheScope& aScope,
+                  const core::ServiceId& aService);
 
 /// @brief Fills in the prompt's home target as the source of parts that are not
 /// read from a store: when a request runs elsewhere, its home target has
@@ -60,4 +60,4 @@
 
 } // namespace jujubehead::node
 
-#endif // JUJUBEHEAD_NODE_FORWARD_PART_PLACES_HPP
+#endif // JUJUBEHEAD_NODE_FORWARD_TRANSFER_PLAN_HPP
--- a/src/jujubehead/node/forward/part_places_test.cpp
+++ b/src/jujubehead/node/forward/transfer_plan_test.cpp
@@ -1,8 +1,8 @@
-#include "part_places.hpp"
+#include "transfer_plan.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
-#include "jujubehead/core/routing/placement.hpp" // for WeightedHome
+#include "jujubehead/core/routing/placement.hpp" // for WeightedOwner
 
 using namespace jujubehead;
 using namespace jujubehead::node;
@@ -11,34 +11,34 @@
 namespace {
 
 /// Planning transfers uses no header lines.
-class NoHeaders : public Dialect
+class NoHeaders : public HeaderCodec
 {
 public:
-  [[nodiscard]] core::Checked<CallerFacts> ReadCaller(
+  [[nodiscard]] core::Checked<CallerMetadata> ParseCallerHeaders(
     const net::HttpHeaders& /*aHeaders*/) const override
   {
-    return CallerFacts{};
+    return CallerMetadata{};
   }
-  [[nodiscard]] ReplyFacts ReadReply(
+  [[nodiscard]] ReplyMetadata ParseReplyHeaders(
     const net::MessageHead& /*aHead*/) const override
   {
     return {};
   }
-  [[nodiscard]] net::HttpHeaders LinesOf(
+  [[nodiscard]] net::HttpHeaders CallHeaders(
     const TargetCall& /*aCall*/) const override
   {
     return {};
   }
-  [[nodiscard]] net::HttpHeaders LinesOfOwnAnswer(
+  [[nodiscard]] net::HttpHeaders LocalReplyHeaders(
     const std::string& /*aRequestId*/) const override
   {
     return {};
   }
-  [[nodiscard]] bool IsSetHere(std::string_view /*aName*/) const override
+  [[nodiscard]] bool IsReserved(std::string_view /*aName*/) const override
   {
     return false;
   }
-  [[nodiscard]] bool BelongsToRequest(std::string_view /*aName*/) const override
+  [[nodiscard]] bool IsEndToEnd(std::string_view /*aName*/) const override
   {
     return false;
   }
@@ -64,10 +64,10 @@
 TEST_GROUP(TransferPlan)
 {
   EntryOptions options;
-  NoHeaders dialect;
+  NoHeaders header_codec;
   std::unique_ptr<Metrics> metrics = Metrics::Create();
   DecisionLog log;
-  ForwardState state{ options, dialect, metrics->ForThread(), log };
+  ForwardState state{ options, header_codec, metrics->ForThread(), log };
   core::Prompt prompt{
     core::ModelId("m1"), { { "a", 100 }, { "b", 900 }, { "c", 9 } }, 1009, 8
   };
@@ -90,7 +90,7 @@
   {
     Declare({ { kStore, "10.0.0.1:80", core::DataCentreId("d"), 100000 } });
     target.target = TargetAt("t1");
-    state.operator_heard = now;
+    state.last_operator_contact = now;
     state.target_clock.OnReading(5000, now);
     call.cache_scope = core::ToText(kScope);
     ReportEvents({});
@@ -108,7 +108,7 @@
   }
   PlannedTokens Plan()
   {
-    return PlaceParts(state, prompt, kScope, target, kObjective, call);
+    return PlanTransfers(state, prompt, kScope, target, kObjective, call);
   }
   bool Reads()
   {
@@ -121,11 +121,11 @@
 {
   ReportCompletePart();
   CHECK(Reads());
-  STRCMP_EQUAL("10.0.0.1:80", call.keep_at[0].address.c_str());
-  CHECK(call.keep_at[1].address.empty());
-  CHECK(call.keep_at[2].address.empty());
+  STRCMP_EQUAL("10.0.0.1:80", call.store_at[0].address.c_str());
+  CHECK(call.store_at[1].address.empty());
+  CHECK(call.store_at[2].address.empty());
   CHECK(call.read_from[2].address.empty());
-  CHECK(*call.read_until_ms >= 5000 + 2900);
+  CHECK(*call.read_deadline_ms >= 5000 + 2900);
 }
 
 TEST(TransferPlan, DoesNotReadPartWithFewerTokens)
@@ -137,7 +137,7 @@
 TEST(TransferPlan, DoesNotReadWithoutOperatorContact)
 {
   ReportCompletePart();
-  state.operator_heard = now - std::chrono::seconds(2);
+  state.last_operator_contact = now - std::chrono::seconds(2);
   CHECK_FALSE(Reads());
 }
 
@@ -158,16 +158,16 @@
 TEST(TransferPlan, DoesNotUseUnreachableStore)
 {
   ReportCompletePart();
-  state.parts.OnSilence(kStore);
+  state.parts.OnNoResponse(kStore);
   CHECK_FALSE(Reads());
-  CHECK(call.keep_at[0].address.empty());
+  CHECK(call.store_at[0].address.empty());
 }
 
 TEST(TransferPlan, DoesNotWriteToFullStore)
 {
   ReportEvents({ { core::ToText(kScope), "x", 99950, true } });
   Plan();
-  CHECK(call.keep_at[0].address.empty());
+  CHECK(call.store_at[0].address.empty());
 }
 
 // 900 tokens of 100 kB take 180 ms on a 0.5 GB/s link; at a tenth of the link,
@@ -181,7 +181,7 @@
   Declare({ store });
   target.target.data_centre = core::DataCentreId("d");
   for (int i = 0; i < 1000; ++i) {
-    state.shares[core::ServiceId("models")].OnLook(1, 10);
+    state.shares[core::ServiceId("models")].AddSample(1, 10);
   }
   ReportEvents({ { core::ToText(kScope), "a", 100, true },
                  { core::ToText(kScope), "b", 900, true } });
@@ -204,11 +204,11 @@
   state.parts.OnPage(other, page, core::RuntimeClock::now());
   ReportCompletePart();
   CHECK(Reads());
-  CHECK(call.keep_at[1].address.empty());
+  CHECK(call.store_at[1].address.empty());
   for (int i = 0; i < 20; ++i) {
     Plan();
   }
-  STRCMP_EQUAL("10.0.0.2:80", call.keep_at[1].address.c_str());
+  STRCMP_EQUAL("10.0.0.2:80", call.store_at[1].address.c_str());
 }
 
 TEST(TransferPlan, PrefersDataCentreOfStoreOnlyForLongTransfer)
@@ -219,12 +219,13 @@
   store.bytes_per_second = 1e9;
   Declare({ store });
   const core::ServiceId models("models");
-  CHECK_FALSE(StorePlaceOf(state, prompt, kScope, models).has_value());
+  CHECK_FALSE(StoreDataCentreOf(state, prompt, kScope, models).has_value());
   ReportCompletePart();
-  CHECK(StorePlaceOf(state, prompt, kScope, models) == core::DataCentreId("d"));
+  CHECK(StoreDataCentreOf(state, prompt, kScope, models) ==
+        core::DataCentreId("d"));
   store.bytes_per_second = 1e10;
   Declare({ store });
-  CHECK_FALSE(StorePlaceOf(state, prompt, kScope, models).has_value());
+  CHECK_FALSE(StoreDataCentreOf(state, prompt, kScope, models).has_value());
 }
 
 TEST(TransferPlan, ReadsOnlyFromLiveHomeTargetWithSameWeights)
@@ -234,7 +235,7 @@
   std::vector<core::PlacementCandidate> homes(2);
   homes[0].name_hash = targets[0]->name_hash;
   homes[1].name_hash = targets[1]->name_hash;
-  const auto home = *core::WeightedHome(core::PlacementHash("b"), homes);
+  const auto home = *core::WeightedOwner(core::PlacementHash("b"), homes);
   FleetTarget& away = *targets[1 - home];
   call.weight_version = 2;
   // A request is outstanding and there was no response: it may be dead.
--- a/src/jujubehead/node/owner_service.cpp
+++ b/src/jujubehead/node/owner_service.cpp
@@ -36,7 +36,7 @@
 
 struct OwnerService::OwnedTarget
 {
-  core::PermitBook book;
+  core::PermitScheduler book;
   TargetState state;
   double prefill_rate = kAssumedPrefillRate; // Tokens a second.
   // First key of the context that a cached key belongs to: finds its home.
@@ -67,13 +67,14 @@
                   const core::StartOwning& aStart)
 {
   const std::uint32_t limit = LimitOf(aTarget);
-  OwnedTarget owned{
-    core::PermitBook::ForEpoch(aStart.epoch, limit), {}, kAssumedPrefillRate, {}
-  };
-  const bool unknown = !aStart.is_first && !aStart.is_handed;
+  OwnedTarget owned{ core::PermitScheduler::ForEpoch(aStart.epoch, limit),
+                     {},
+                     kAssumedPrefillRate,
+                     {} };
+  const bool unknown = !aStart.is_first && !aStart.has_all_permits;
   if (unknown) {
     owned.book.ReserveUnknown(
-      limit, aStart.previous_end + core::PermitRules().start_window);
+      limit, aStart.previous_grants_end + core::PermitRules().start_window);
   }
   owned.book.Adopt(aStart.held, RuntimeClock::now());
   if (IsStopping(aTarget)) {
@@ -89,14 +90,14 @@
   }
 }
 
-core::HandedOver
+core::GroupHandover
 OwnerService::HandOver(const core::GroupRow& aRow) const
 {
   const auto found = m_owned.find(core::TargetId(aRow.group.Text()));
   if (found == m_owned.end()) {
     return { aRow, {}, false };
   }
-  const core::PermitBook& book = found->second.book;
+  const core::PermitScheduler& book = found->second.book;
   return { aRow, book.Held(), book.Reserved() == 0 };
 }
 
@@ -132,10 +133,10 @@
   return targets;
 }
 
-wire::QuoteAnswer
-OwnerService::Quote(const wire::QuoteAsk& aAsk) const
+wire::QuoteReply
+OwnerService::Quote(const wire::QuoteRequest& aAsk) const
 {
-  wire::QuoteAnswer answer;
+  wire::QuoteReply answer;
   for (const core::TargetId& target : aAsk.targets) {
     const auto found = m_owned.find(target);
     if (found == m_owned.end()) {
@@ -158,19 +159,20 @@
 }
 
 void
-OwnerService::OnAsk(const core::InstanceId& aFrom, const wire::PermitAsk& aAsk)
+OwnerService::OnAsk(const core::InstanceId& aFrom,
+                    const wire::PermitAcquire& aAsk)
 {
   const auto found = m_owned.find(aAsk.target);
   if (found == m_owned.end()) {
     m_peers.Tell(aFrom,
-                 wire::PermitAnswer{ aAsk.target,
-                                     aAsk.request,
-                                     wire::PermitOutcome::kNotOwner,
-                                     0,
-                                     0,
-                                     0,
-                                     {},
-                                     aAsk.mark });
+                 wire::PermitReply{ aAsk.target,
+                                    aAsk.request,
+                                    wire::PermitOutcome::kNotOwner,
+                                    0,
+                                    0,
+                                    0,
+                                    {},
+                                    aAsk.mark });
     return;
   }
   OwnedTarget& owned = found->second;
@@ -278,7 +280,7 @@
   if (found == m_owned.end()) {
     return;
   }
-  found->second.book.ObserveTargetReport(aReport);
+  found->second.book.ApplyTargetReport(aReport);
   Decide(aTarget, found->second);
 }
 
@@ -343,7 +345,7 @@
   const auto now = RuntimeClock::now();
   for (auto& [target, owned] : m_owned) {
     Decide(target, owned);
-    for (const core::InstanceId& holder : owned.book.HoldersToAsk(now)) {
+    for (const core::InstanceId& holder : owned.book.HoldersToQuery(now)) {
       asio::co_spawn(
         m_peers.Context(), AskHoldings(target, holder), asio::detached);
     }
@@ -415,7 +417,7 @@
   {
     const core::TargetId& target;
 
-    wire::PermitAnswer operator()(const core::PermitGranted& aGranted) const
+    wire::PermitReply operator()(const core::PermitGranted& aGranted) const
     {
       return { target,
                aGranted.request,
@@ -426,7 +428,7 @@
                {},
                aGranted.mark };
     }
-    wire::PermitAnswer operator()(const core::PermitRefused& aRefused) const
+    wire::PermitReply operator()(const core::PermitRefused& aRefused) const
     {
       return { target,
                aRefused.request,
@@ -452,21 +454,21 @@
     co_return;
   }
   const core::PermitId up_to = owned->second.book.Query().up_to;
-  wire::Message ask = wire::HoldingsAsk{ aTarget, up_to };
+  wire::Message ask = wire::HoldingsRequest{ aTarget, up_to };
   const auto answer =
     co_await m_peers.Ask(aHolder, std::move(ask), kHoldingsTimeout);
   const auto still_owned = m_owned.find(aTarget);
   if (!answer || still_owned == m_owned.end()) {
     co_return;
   }
-  const auto* holdings = std::get_if<wire::HoldingsAnswer>(&*answer);
+  const auto* holdings = std::get_if<wire::HoldingsReply>(&*answer);
   if (holdings == nullptr) {
     co_return;
   }
-  const core::HoldingsAnswer told{
+  const core::HoldingsReply told{
     aHolder, holdings->up_to, holdings->held, holdings->process
   };
-  still_owned->second.book.AcceptHolding(told, RuntimeClock::now());
+  still_owned->second.book.ApplyHoldings(told, RuntimeClock::now());
   Decide(aTarget, still_owned->second);
 }
 
--- a/src/jujubehead/node/owner_service.hpp
+++ b/src/jujubehead/node/owner_service.hpp
@@ -10,13 +10,13 @@
 
 #include <boost/asio/awaitable.hpp> // for awaitable
 
-#include "jujubehead/core/change_log.hpp"   // for TableView
-#include "jujubehead/core/context_key.hpp"  // for ContextKey
-#include "jujubehead/core/ownership.hpp"    // for StartOwning
-#include "jujubehead/core/permit_book.hpp"  // for PermitBook
-#include "jujubehead/node/status.hpp"       // for OwnedTargetStatus
-#include "jujubehead/node/target_state.hpp" // for TargetState
-#include "jujubehead/wire/messages.hpp"     // for PermitAsk, QuoteAsk
+#include "jujubehead/core/change_log.hpp"       // for TableView
+#include "jujubehead/core/context_key.hpp"      // for ContextKey
+#include "jujubehead/core/ownership.hpp"        // for StartOwning
+#include "jujubehead/core/permit_scheduler.hpp" // for PermitScheduler
+#include "jujubehead/node/status.hpp"           // for OwnedTargetStatus
+#include "jujubehead/node/target_state.hpp"     // for TargetState
+#include "jujubehead/wire/messages.hpp" // for PermitAcquire, QuoteRequest
 
 namespace jujubehead::node {
 
@@ -25,7 +25,7 @@
 class PeerCalls;
 
 /// @brief Admits work to the targets that this instance owns, on the control
-/// thread. Entries ask by PermitAsk and hear by PermitAnswer.
+/// thread. Entries ask by PermitAcquire and hear by PermitReply.
 class OwnerService
 {
 public:
@@ -49,10 +49,10 @@
     const core::TargetId& aTarget) const;
   [[nodiscard]] std::vector<core::TargetId> Owned() const;
   /// @return what the next owner is told: all permits that are out.
-  [[nodiscard]] core::HandedOver HandOver(const core::GroupRow& aRow) const;
+  [[nodiscard]] core::GroupHandover HandOver(const core::GroupRow& aRow) const;
 
-  [[nodiscard]] wire::QuoteAnswer Quote(const wire::QuoteAsk& aAsk) const;
-  void OnAsk(const core::InstanceId& aFrom, const wire::PermitAsk& aAsk);
+  [[nodiscard]] wire::QuoteReply Quote(const wire::QuoteRequest& aAsk) const;
+  void OnAsk(const core::InstanceId& aFrom, const wire::PermitAcquire& aAsk);
   void OnWithdraw(const wire::PermitWithdraw& aWithdraw);
   void OnStarted(const wire::PermitStarted& aStarted);
   void OnRelease(const wire::PermitRelease& aRelease);
--- a/src/jujubehead/node/ownership_service.cpp
+++ b/src/jujubehead/node/ownership_service.cpp
@@ -156,9 +156,9 @@
 }
 
 void
-OwnershipService::OnHandedOver(const core::HandedOver& aHanded)
+OwnershipService::OnHandover(const core::GroupHandover& aHanded)
 {
-  m_ownership.OnHandedOver(aHanded, RuntimeClock::now());
+  m_ownership.OnHandover(aHanded, RuntimeClock::now());
   TakeActions();
 }
 
--- a/src/jujubehead/node/ownership_service.hpp
+++ b/src/jujubehead/node/ownership_service.hpp
@@ -36,7 +36,7 @@
   void OnMembers();
   void OnMessage(const core::InstanceId& aFrom,
                  const core::OwnershipMessage& aMessage);
-  void OnHandedOver(const core::HandedOver& aHanded);
+  void OnHandover(const core::GroupHandover& aHanded);
   /// @brief Planned stop of this instance: hands everything over.
   void Leave();
 
--- a/src/jujubehead/node/peer_calls.cpp
+++ b/src/jujubehead/node/peer_calls.cpp
@@ -97,7 +97,7 @@
 void
 PeerCalls::Dispatch(const core::InstanceId& aFrom, wire::Envelope aEnvelope)
 {
-  if (aEnvelope.is_answer) {
+  if (aEnvelope.is_reply) {
     Answer(std::move(aEnvelope));
     return;
   }
--- a/src/jujubehead/node/snapshot_pages.cpp
+++ b/src/jujubehead/node/snapshot_pages.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-wire::TableAnswer
-SnapshotPages::Page(const wire::TableAsk& aAsk,
+wire::TablePageReply
+SnapshotPages::Page(const wire::TablePageRequest& aAsk,
                     const core::TableSnapshot& aCurrent,
                     core::Instant aNow)
 {
@@ -42,14 +42,14 @@
   return true;
 }
 
-wire::TableAsk
+wire::TablePageRequest
 SnapshotAssembly::Next() const
 {
   return { m_version, m_text.size() };
 }
 
 bool
-SnapshotAssembly::Add(const wire::TableAnswer& aAnswer)
+SnapshotAssembly::Add(const wire::TablePageReply& aAnswer)
 {
   const bool is_first = m_text.empty();
   const bool fits =
--- a/src/jujubehead/node/snapshot_pages.hpp
+++ b/src/jujubehead/node/snapshot_pages.hpp
@@ -6,7 +6,7 @@
 
 #include "jujubehead/core/change_log.hpp"    // for TableSnapshot
 #include "jujubehead/core/runtime_clock.hpp" // for Instant
-#include "jujubehead/wire/messages.hpp"      // for TableAsk, TableAnswer
+#include "jujubehead/wire/messages.hpp" // for TablePageRequest, TablePageReply
 
 namespace jujubehead::node {
 
@@ -18,9 +18,9 @@
 {
 public:
   /// @return a page; empty when the asked version is not kept: begin again.
-  wire::TableAnswer Page(const wire::TableAsk& aAsk,
-                         const core::TableSnapshot& aCurrent,
-                         core::Instant aNow);
+  wire::TablePageReply Page(const wire::TablePageRequest& aAsk,
+                            const core::TableSnapshot& aCurrent,
+                            core::Instant aNow);
   /// @brief Frees the text when nobody has asked for some seconds.
   /// @return whether there was one to free.
   bool DropIfIdle(core::Instant aNow);
@@ -35,9 +35,9 @@
 class SnapshotAssembly
 {
 public:
-  [[nodiscard]] wire::TableAsk Next() const;
+  [[nodiscard]] wire::TablePageRequest Next() const;
   /// @return whether the answer was what Next() asked for.
-  bool Add(const wire::TableAnswer& aAnswer);
+  bool Add(const wire::TablePageReply& aAnswer);
   [[nodiscard]] bool IsWhole() const;
   /// @return the snapshot in CBOR.
   [[nodiscard]] std::string Take();
--- a/src/jujubehead/node/snapshot_pages_test.cpp
+++ b/src/jujubehead/node/snapshot_pages_test.cpp
@@ -7,8 +7,8 @@
 using namespace jujubehead::core;
 using namespace jujubehead::node;
 using namespace std::chrono_literals;
-using jujubehead::wire::TableAnswer;
-using jujubehead::wire::TableAsk;
+using jujubehead::wire::TablePageReply;
+using jujubehead::wire::TablePageRequest;
 
 TEST_GROUP(SnapshotPages)
 {
@@ -76,12 +76,12 @@
 TEST(SnapshotPages, AnAnswerThatDoesNotFitIsRefused)
 {
   SnapshotAssembly assembly;
-  CHECK_FALSE(assembly.Add(TableAnswer{}));
-  CHECK_FALSE(assembly.Add(TableAnswer{ 1, 2, "long" }));
-  CHECK_FALSE(assembly.Add(TableAnswer{ 1, ~std::uint64_t{ 0 }, "a" }));
-  CHECK(assembly.Add(TableAnswer{ 1, 2, "a" }));
-  CHECK_FALSE(assembly.Add(TableAnswer{ 1, 3, "b" }));
-  CHECK_FALSE(assembly.Add(TableAnswer{ 2, 2, "b" }));
-  CHECK(assembly.Add(TableAnswer{ 1, 2, "b" }));
+  CHECK_FALSE(assembly.Add(TablePageReply{}));
+  CHECK_FALSE(assembly.Add(TablePageReply{ 1, 2, "long" }));
+  CHECK_FALSE(assembly.Add(TablePageReply{ 1, ~std::uint64_t{ 0 }, "a" }));
+  CHECK(assembly.Add(TablePageReply{ 1, 2, "a" }));
+  CHECK_FALSE(assembly.Add(TablePageReply{ 1, 3, "b" }));
+  CHECK_FALSE(assembly.Add(TablePageReply{ 2, 2, "b" }));
+  CHECK(assembly.Add(TablePageReply{ 1, 2, "b" }));
   CHECK(assembly.IsWhole());
 }
--- a/src/jujubehead/node/store_service.cpp
+++ b/src/jujubehead/node/store_service.cpp
@@ -6,10 +6,10 @@
 #include <boost/asio/co_spawn.hpp> // for co_spawn
 #include <boost/asio/detached.hpp> // for detached
 
-#include "jujubehead/core/keep_policy.hpp"       // for ExportGain
-#include "jujubehead/core/kept_context.hpp"      // for HandleOf
+#include "jujubehead/core/context_import.hpp"    // for HandleOf
 #include "jujubehead/core/link_schedule.hpp"     // for LinkSchedule
-#include "jujubehead/core/return_model.hpp"      // for ReturnModel
+#include "jujubehead/core/retention_policy.hpp"  // for ExportGain
+#include "jujubehead/core/reuse_model.hpp"       // for ReuseModel
 #include "jujubehead/core/sparse_depths.hpp"     // for SparseKeys
 #include "jujubehead/net/engine_client.hpp"      // for EngineClient
 #include "jujubehead/net/store_client.hpp"       // for StoreClient
@@ -34,7 +34,7 @@
 constexpr int kExportTries = 2;
 
 std::vector<core::ContextKey>
-KeysOf(const wire::KeepOffer& aOffer)
+KeysOf(const wire::ExportOffer& aOffer)
 {
   std::vector<core::ContextKey> keys;
   for (const std::string& raw : aOffer.keys) {
@@ -57,9 +57,9 @@
 
 struct StoreService::Copy
 {
-  core::CopyName name;
+  core::CopyId name;
   std::vector<std::string> sparse_keys;
-  core::KeptValue value;
+  core::RetentionInput value;
   core::Instant last_used;
 };
 
@@ -79,14 +79,15 @@
     return settings;
   }
 
-  [[nodiscard]] core::KeptValue ValueOf(const wire::KeepOffer& aOffer) const
+  [[nodiscard]] core::RetentionInput ValueOf(
+    const wire::ExportOffer& aOffer) const
   {
-    core::KeptValue value;
+    core::RetentionInput value;
     value.account = aOffer.account;
     value.bytes =
       static_cast<std::uint64_t>(bytes_per_block) * aOffer.keys.size();
     value.recompute_seconds = aOffer.tokens / kAssumedPrefillRate;
-    value.saved = core::ReturnValue(
+    value.reuse_value = core::ReuseValue(
       value.recompute_seconds, aOffer.tokens, aOffer.recompute_price);
     return value;
   }
@@ -94,10 +95,10 @@
   std::uint64_t epoch;
   core::GenerationSource generations;
   core::LinkSchedule link;
-  core::ReturnModel returns;
+  core::ReuseModel returns;
   std::uint32_t bytes_per_block = kAssumedBytesPerBlock;
   std::uint64_t next_transfer = 1;
-  std::map<std::uint64_t, wire::KeepOffer> transfers;
+  std::map<std::uint64_t, wire::ExportOffer> transfers;
   std::map<std::string, Copy> copies; ///< By handle.
 };
 
@@ -130,7 +131,7 @@
 }
 
 void
-StoreService::OnOffer(const wire::KeepOffer& aOffer)
+StoreService::OnOffer(const wire::ExportOffer& aOffer)
 {
   const auto found = m_owned.find(aOffer.store);
   if (found == m_owned.end() || aOffer.keys.empty()) {
@@ -150,14 +151,14 @@
   transfer.kind = core::TransferKind::kExport;
   transfer.account = aOffer.account;
   transfer.bytes = owned.ValueOf(aOffer).bytes;
-  transfer.give_up = RuntimeClock::now() + kWorthlessAfter;
+  transfer.start_deadline = RuntimeClock::now() + kWorthlessAfter;
   if (owned.link.Submit(transfer)) {
     owned.transfers.emplace(transfer.id, aOffer);
   }
 }
 
 void
-StoreService::NoteReturn(OwnedStore& aOwned, const wire::KeepOffer& aOffer)
+StoreService::NoteReturn(OwnedStore& aOwned, const wire::ExportOffer& aOffer)
 {
   const auto copy = aOwned.copies.find(core::HandleOf(KeysOf(aOffer)));
   const auto now = RuntimeClock::now();
@@ -168,15 +169,15 @@
 
 bool
 StoreService::IsWorthKeeping(const OwnedStore& aOwned,
-                             const wire::KeepOffer& aOffer) const
+                             const wire::ExportOffer& aOffer) const
 {
-  core::ExportView view;
+  core::ExportInput view;
   view.value = aOwned.ValueOf(aOffer);
   view.bytes_to_move = view.value.bytes;
   view.bytes_per_second = aOwned.link.BytesPerSecond();
   view.link_use =
-    aOwned.link.Use(core::TransferKind::kImport, RuntimeClock::now());
-  view.kept_for = kAssumedKeptFor;
+    aOwned.link.Utilization(core::TransferKind::kImport, RuntimeClock::now());
+  view.expected_retention = kAssumedKeptFor;
   return core::ExportGain(aOwned.returns, view) > 0;
 }
 
@@ -195,7 +196,7 @@
 }
 
 wire::LinkQuote
-StoreService::Quote(const wire::LinkAsk& aAsk) const
+StoreService::Quote(const wire::LinkQuoteRequest& aAsk) const
 {
   const auto found = m_owned.find(aAsk.store);
   if (found == m_owned.end()) {
@@ -231,7 +232,7 @@
     co_return;
   }
   const std::uint64_t epoch = owned->second.epoch;
-  const wire::KeepOffer offer = owned->second.transfers.at(aTransfer);
+  const wire::ExportOffer offer = owned->second.transfers.at(aTransfer);
   for (int i = 0; i < kExportTries; ++i) {
     const bool done = co_await TryExport(aStore, offer);
     if (done) {
@@ -250,7 +251,7 @@
 }
 
 asio::awaitable<bool>
-StoreService::TryExport(core::StoreId aStore, const wire::KeepOffer& aOffer)
+StoreService::TryExport(core::StoreId aStore, const wire::ExportOffer& aOffer)
 {
   const net::Member* store = m_members.Find(aStore.View());
   const net::Member* target = m_members.Find(aOffer.target.View());
@@ -297,36 +298,38 @@
 }
 
 asio::awaitable<bool>
-StoreService::MakeRoom(core::StoreId aStore, const wire::KeepOffer& aOffer)
+StoreService::MakeRoom(core::StoreId aStore, const wire::ExportOffer& aOffer)
 {
   const auto owned = m_owned.find(aStore);
   const net::Member* store = m_members.Find(aStore.View());
   if (owned == m_owned.end() || store == nullptr) {
     co_return false;
   }
-  const core::KeptValue newcomer = owned->second.ValueOf(aOffer);
+  const core::RetentionInput newcomer = owned->second.ValueOf(aOffer);
   std::vector<std::string> handles;
-  std::vector<core::VictimView> victims;
+  std::vector<core::EvictionCandidate> victims;
   const auto now = RuntimeClock::now();
   for (auto& [handle, copy] : owned->second.copies) {
     copy.value.idle = now - copy.last_used;
     handles.push_back(handle);
-    victims.push_back(
-      { core::KeepPrice(owned->second.returns, copy.value), copy.value.bytes });
+    victims.push_back({ core::RetentionPrice(owned->second.returns, copy.value),
+                        copy.value.bytes });
   }
-  const auto chosen = core::ChooseVictims(
-    victims, newcomer.bytes, core::KeepPrice(owned->second.returns, newcomer));
+  const auto chosen =
+    core::ChooseVictims(victims,
+                        newcomer.bytes,
+                        core::RetentionPrice(owned->second.returns, newcomer));
   if (!chosen) {
     co_return false;
   }
-  std::vector<core::CopyName> names;
+  std::vector<core::CopyId> names;
   for (const std::size_t index : *chosen) {
     names.push_back(owned->second.copies.at(handles[index]).name);
     Forget(aStore, handles[index]);
   }
   net::StoreClient client(m_client, store->address, kStoreTimeout);
   try {
-    for (core::CopyName& name : names) {
+    for (core::CopyId& name : names) {
       co_await client.Delete(std::move(name));
     }
   } catch (const net::HttpCallError&) {
--- a/src/jujubehead/node/store_service.hpp
+++ b/src/jujubehead/node/store_service.hpp
@@ -10,7 +10,7 @@
 #include "jujubehead/core/ids.hpp"        // for StoreId
 #include "jujubehead/net/http_client.hpp" // for HttpClient
 #include "jujubehead/node/status.hpp"     // for OwnedStoreStatus
-#include "jujubehead/wire/messages.hpp"   // for KeepOffer, LinkAsk
+#include "jujubehead/wire/messages.hpp"   // for ExportOffer, LinkQuoteRequest
 
 namespace jujubehead::node {
 
@@ -39,9 +39,9 @@
   void Own(const core::StoreId& aStore, std::uint64_t aEpoch);
   void Disown(const core::StoreId& aStore);
 
-  void OnOffer(const wire::KeepOffer& aOffer);
+  void OnOffer(const wire::ExportOffer& aOffer);
   void OnMissing(const wire::CopyMissing& aMissing);
-  [[nodiscard]] wire::LinkQuote Quote(const wire::LinkAsk& aAsk) const;
+  [[nodiscard]] wire::LinkQuote Quote(const wire::LinkQuoteRequest& aAsk) const;
   /// @brief Starts transfers that are due.
   void Tick();
 
@@ -51,15 +51,15 @@
   struct Copy;
   struct OwnedStore;
 
-  void NoteReturn(OwnedStore& aOwned, const wire::KeepOffer& aOffer);
+  void NoteReturn(OwnedStore& aOwned, const wire::ExportOffer& aOffer);
   [[nodiscard]] bool IsWorthKeeping(const OwnedStore& aOwned,
-                                    const wire::KeepOffer& aOffer) const;
+                                    const wire::ExportOffer& aOffer) const;
   boost::asio::awaitable<void> Export(core::StoreId aStore,
                                       std::uint64_t aTransfer);
   boost::asio::awaitable<bool> TryExport(core::StoreId aStore,
-                                         const wire::KeepOffer& aOffer);
+                                         const wire::ExportOffer& aOffer);
   boost::asio::awaitable<bool> MakeRoom(core::StoreId aStore,
-                                        const wire::KeepOffer& aOffer);
+                                        const wire::ExportOffer& aOffer);
   void Forget(const core::StoreId& aStore, const std::string& aHandle);
 
   PeerCalls& m_peers;
--- a/src/jujubehead/node/table_watch.cpp
+++ b/src/jujubehead/node/table_watch.cpp
@@ -86,8 +86,8 @@
   return { NotReady() ? 0 : View().Version() };
 }
 
-wire::TableAnswer
-TableWatch::Page(const wire::TableAsk& aAsk)
+wire::TablePageReply
+TableWatch::Page(const wire::TablePageRequest& aAsk)
 {
   if (NotReady()) {
     return {};
@@ -110,7 +110,7 @@
 {
   std::mt19937_64 random(std::hash<core::InstanceId>{}(m_peers.Self()));
   for (;;) {
-    if (NotReady() || m_follower.IsServiceAway()) {
+    if (NotReady() || m_follower.IsServiceUnavailable()) {
       std::vector<core::InstanceId> peers = m_members.LiveInstances();
       std::erase(peers, m_peers.Self());
       std::shuffle(peers.begin(), peers.end(), random);
@@ -146,7 +146,7 @@
     const auto answer =
       co_await m_peers.Ask(aPeer, std::move(ask), kSnapshotTimeout);
     const auto* page =
-      answer ? std::get_if<wire::TableAnswer>(&*answer) : nullptr;
+      answer ? std::get_if<wire::TablePageReply>(&*answer) : nullptr;
     if (page == nullptr || !assembly.Add(*page)) {
       co_return std::nullopt;
     }
--- a/src/jujubehead/node/table_watch.hpp
+++ b/src/jujubehead/node/table_watch.hpp
@@ -11,7 +11,7 @@
 #include "jujubehead/core/table_follower.hpp" // for TableFollower
 #include "jujubehead/net/table_log.hpp"       // for TableLog
 #include "jujubehead/node/snapshot_pages.hpp" // for SnapshotPages
-#include "jujubehead/wire/messages.hpp"       // for TableAsk, TableAnswer
+#include "jujubehead/wire/messages.hpp" // for TablePageRequest, TablePageReply
 
 namespace jujubehead::node {
 
@@ -45,7 +45,7 @@
 
   /// @brief What peers are told.
   [[nodiscard]] wire::TableHead Head() const;
-  [[nodiscard]] wire::TableAnswer Page(const wire::TableAsk& aAsk);
+  [[nodiscard]] wire::TablePageReply Page(const wire::TablePageRequest& aAsk);
 
 private:
   void GiveBackMemory();
--- a/src/jujubehead/wire/codec.cpp
+++ b/src/jujubehead/wire/codec.cpp
@@ -179,7 +179,7 @@
   Json list = Json::array();
   list.push_back(aEnvelope.message.index());
   list.push_back(aEnvelope.call);
-  list.push_back(aEnvelope.is_answer);
+  list.push_back(aEnvelope.is_reply);
   list.push_back(std::visit(
     [](const auto& aMessage) { return Write(aMessage); }, aEnvelope.message));
   return Json::to_cbor(list);
@@ -195,7 +195,7 @@
     }
     Envelope envelope;
     envelope.call = list[1].get<std::uint64_t>();
-    envelope.is_answer = list[2].get<bool>();
+    envelope.is_reply = list[2].get<bool>();
     envelope.message =
       ReadMessage(list[0].get<std::size_t>(),
                   list[3],
--- a/src/jujubehead/wire/codec_test.cpp
+++ b/src/jujubehead/wire/codec_test.cpp
@@ -25,7 +25,7 @@
                                              { aKey, aKey + "x" } };
                 const Envelope back = Decode(Encode({ aCall, aFlag, hint }));
                 RC_ASSERT(back.call == aCall);
-                RC_ASSERT(back.is_answer == aFlag);
+                RC_ASSERT(back.is_reply == aFlag);
                 const auto& message = std::get<wire::TargetHint>(back.message);
                 RC_ASSERT(message.target == hint.target);
                 RC_ASSERT(message.stored == hint.stored);
@@ -36,11 +36,11 @@
 
 TEST(Codec, NestedListsAndDurationsRoundTrip)
 {
-  wire::QuoteAnswer answer;
+  wire::QuoteReply answer;
   answer.quotes.push_back(
     { core::TargetId("t1"), 3, 2, 8, std::chrono::milliseconds(7), 900, true });
   const Envelope back = Decode(Encode({ 9, true, answer }));
-  const auto& quote = std::get<wire::QuoteAnswer>(back.message).quotes.at(0);
+  const auto& quote = std::get<wire::QuoteReply>(back.message).quotes.at(0);
   LONGS_EQUAL(3, quote.running);
   CHECK(quote.expected_wait == std::chrono::milliseconds(7));
   CHECK(quote.admits);
--- a/standin/entry_deployment.cpp
+++ b/standin/entry_deployment.cpp
@@ -19,7 +19,7 @@
 #include "jujubehead/node/metrics.hpp"               // for Metrics
 #include "platform/base64.hpp"                       // for EncodeBase64
 #include "platform/connect.hpp"                      // for Connect
-#include "platform/header_lines.hpp"                 // for HeaderLines
+#include "platform/platform_header_codec.hpp"        // for PlatformHeaderCodec
 
 namespace jujubehead::standin {
 namespace {
@@ -79,7 +79,7 @@
   explicit RunningInstance(const node::EntryOptions& aOptions)
     : m_metrics(node::Metrics::Create())
     , m_paths(aOptions.table_service, aOptions.instance_id.Text())
-    , m_forwarder(aOptions, m_dialect, *m_metrics)
+    , m_forwarder(aOptions, m_header_codec, *m_metrics)
   {
     m_forwarder.Start();
     m_own.Do([&] {
@@ -112,7 +112,7 @@
 
 private:
   ContextThread m_own; ///< Of the control.
-  platform::HeaderLines m_dialect;
+  platform::PlatformHeaderCodec m_header_codec;
   std::unique_ptr<node::Metrics> m_metrics;
   core::StorePaths m_paths;
   node::Forwarder m_forwarder;
--- a/standin/hub_exchange_test.cpp
+++ b/standin/hub_exchange_test.cpp
@@ -8,10 +8,10 @@
 
 #include "jujubehead/net/run_awaitable.hpp" // for RunAwaitable
 #include "platform/operator_rows.hpp"       // for OperatorRows
+#include "platform/part_store_client.hpp"   // for PartStoreClient
 #include "platform/registry_rows.hpp"       // for RegistryRows
-#include "platform/row_store.hpp"           // for RowStore
+#include "platform/row_store_client.hpp"    // for RowStoreClient
 #include "platform/shared_table.hpp"        // for SharedTable
-#include "platform/store_calls.hpp"         // for PartStores
 #include "standin/stand_in.hpp"             // for StandIn
 
 using namespace jujubehead;
@@ -59,19 +59,19 @@
                            core::Instant aHeard) {
       parts.OnPage(aStore, aPage, aHeard);
     };
-    hooks.on_silence = [this](const core::StoreId& aStore) {
-      parts.OnSilence(aStore);
+    hooks.on_failure = [this](const core::StoreId& aStore) {
+      parts.OnNoResponse(aStore);
     };
     return hooks;
   }
   node::HubHooks HooksOfHubs()
   {
     node::HubHooks hooks;
-    hooks.on_heard = [this](core::Instant aTold) { heard = aTold; };
+    hooks.on_synced = [this](core::Instant aTold) { heard = aTold; };
     hooks.exchange_loads =
-      [this](const std::vector<core::HeardLoad>& aTold,
-             std::function<void(std::vector<core::HeardLoad>)> aGive) {
-        for (const core::HeardLoad& one : aTold) {
+      [this](const std::vector<core::TargetLoadReport>& aTold,
+             std::function<void(std::vector<core::TargetLoadReport>)> aGive) {
+        for (const core::TargetLoadReport& one : aTold) {
           told_loads.push_back(one);
         }
         asio::post(context,
@@ -87,16 +87,16 @@
   asio::io_context& context;
   std::unique_ptr<net::HttpClient> client;
   core::StorePaths paths;
-  platform::RowStore rows;
+  platform::RowStoreClient rows;
   platform::OperatorRows operators;
   platform::RegistryRows registry;
   platform::SharedTable shared;
-  platform::PartStores calls;
+  platform::PartStoreClient calls;
   core::HubRole role;
   core::PartDirectory parts;
   core::Instant heard{};
-  std::vector<core::HeardLoad> own_loads;
-  std::vector<core::HeardLoad> told_loads;
+  std::vector<core::TargetLoadReport> own_loads;
+  std::vector<core::TargetLoadReport> told_loads;
   node::StoreWatch stores;
   node::HubExchange hubs;
   std::unique_ptr<net::HttpServer> door;
@@ -120,7 +120,7 @@
       { "one", one.Address() }, { "other", other.Address() }
     };
     core::HubOptions options;
-    options.most_without = 1;
+    options.max_without_hubs = 1;
     options.hubs = 1;
     one.role.Update(all, options);
     other.role.Update(all, options);
@@ -168,7 +168,7 @@
   ReadAll(*hub);
   ReadAll(*follower);
   follower->hubs.Start();
-  CHECK(Await([&] { return follower->rows.IsFed(); }));
+  CHECK(Await([&] { return follower->rows.HasHubFeed(); }));
   const std::uint64_t version = Put("a", "one");
   HubReads(0);
   const std::uint64_t calls = StoreCalls();
@@ -178,7 +178,7 @@
   LONGS_EQUAL(version, page.version);
   LONGS_EQUAL(calls, StoreCalls());
   // It knows how old the hub's word is.
-  const core::Duration age = core::RuntimeClock::now() - page.told;
+  const core::Duration age = core::RuntimeClock::now() - page.answered_at;
   CHECK(age >= core::Duration(0) && age < kMostTime);
 }
 
@@ -187,9 +187,9 @@
   ReadAll(*hub);
   ReadAll(*follower);
   follower->hubs.Start();
-  CHECK(Await([&] { return follower->rows.IsFed(); }));
+  CHECK(Await([&] { return follower->rows.HasHubFeed(); }));
   // Nobody reads for the hub any more: what it knows grows old.
-  CHECK(Await([&] { return !follower->rows.IsFed(); }));
+  CHECK(Await([&] { return !follower->rows.HasHubFeed(); }));
   const std::uint64_t calls = StoreCalls();
   net::RunAwaitable(context, follower->rows.ReadChanges("op", 0, kShortWait));
   CHECK(StoreCalls() > calls);
@@ -239,8 +239,9 @@
   hub->stores.SetStores({ declared });
   follower->stores.SetStores({ declared });
   follower->hubs.Start();
-  CHECK(Await(
-    [&] { return follower->parts.IsPresent(id, core::RuntimeClock::now()); }));
+  CHECK(Await([&] {
+    return follower->parts.IsReachable(id, core::RuntimeClock::now());
+  }));
   LONGS_EQUAL(hub->parts.EpochOf(id), follower->parts.EpochOf(id));
 }
 
@@ -258,7 +259,7 @@
   const auto knows = [](const Instance& aInstance, const char* aTarget) {
     return std::any_of(aInstance.told_loads.begin(),
                        aInstance.told_loads.end(),
-                       [&](const core::HeardLoad& aLoad) {
+                       [&](const core::TargetLoadReport& aLoad) {
                          return aLoad.target ==
                                 core::KeyOf(core::TargetId(aTarget));
                        });
@@ -273,7 +274,7 @@
   const std::vector<core::KnownInstance> all = { { "one", one.Address() },
                                                  { "other", other.Address() } };
   core::HubOptions options;
-  options.most_without = 1;
+  options.max_without_hubs = 1;
   options.hubs = 2;
   one.role.Update(all, options);
   other.role.Update(all, options);
@@ -285,7 +286,7 @@
   CHECK(Await([&] {
     return std::any_of(other.told_loads.begin(),
                        other.told_loads.end(),
-                       [](const core::HeardLoad& aLoad) {
+                       [](const core::TargetLoadReport& aLoad) {
                          return aLoad.target ==
                                   core::KeyOf(core::TargetId("t1")) &&
                                 aLoad.load.waiting == 5;
@@ -298,7 +299,7 @@
   net::HttpCall call;
   call.authority = follower->Address();
   call.target =
-    std::string(node::kHubNewsPath) + "?start=&after=0&since=0&rows=";
+    std::string(node::kHubUpdatesPath) + "?start=&after=0&since=0&rows=";
   const auto response =
     net::RunAwaitable(context, hub->client->Fetch(std::move(call)));
   LONGS_EQUAL(503, response.status);
--- a/standin/old_weights_test.cpp
+++ b/standin/stale_weights_deadlines_test.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_GROUP(OldWeights)
+TEST_GROUP(StaleWeightsDeadlines)
 {
   std::unique_ptr<EntryDeployment> deployment;
   Clock::time_point named;
@@ -79,7 +79,7 @@
 
 // The last 2.5 s of the allowed time are left to requests that wait at targets.
 
-TEST(OldWeights, TheirTimeGoesOnOverARestart)
+TEST(StaleWeightsDeadlines, TheirTimeGoesOnOverARestart)
 {
   NameWeights(8000ms);
   SleepTo(2000ms);
@@ -92,7 +92,7 @@
   LONGS_EQUAL(kUnavailable, Ask());
 }
 
-TEST(OldWeights, ShortAbsencesOfTheStoreDoNotMoveTheirEndForEver)
+TEST(StaleWeightsDeadlines, ShortAbsencesOfTheStoreDoNotMoveTheirEndForEver)
 {
   NameWeights(4000ms);
   for (int i = 1; i <= 8; ++i) {
@@ -104,7 +104,7 @@
   LONGS_EQUAL(kUnavailable, Ask());
 }
 
-TEST(OldWeights, AStartSoonAfterTheNamingCountsFromTheRecord)
+TEST(StaleWeightsDeadlines, AStartSoonAfterTheNamingCountsFromTheRecord)
 {
   NameWeights(8000ms);
   SleepTo(500ms);
@@ -115,7 +115,7 @@
   LONGS_EQUAL(kOk, Ask());
 }
 
-TEST(OldWeights, AStartLateInTheirTimeCountsFromTheRecord)
+TEST(StaleWeightsDeadlines, AStartLateInTheirTimeCountsFromTheRecord)
 {
   NameWeights(8000ms);
   SleepTo(4500ms);
@@ -130,7 +130,7 @@
 // out seconds late, a roll-out took 17 s, since each third of the targets was
 // waited for before the next got its orders.
 
-TEST(OldWeights, OrdersThatStayUnansweredDoNotHoldUpOtherTargets)
+TEST(StaleWeightsDeadlines, OrdersThatStayUnansweredDoNotHoldUpOtherTargets)
 {
   constexpr std::size_t kTargets = 6;
   deployment = EntryDeployment::Start({ kTargets, 10000ms });
--- a/standin/store_relay_test.cpp
+++ b/standin/store_relay_test.cpp
@@ -7,7 +7,7 @@
 
 #include "jujubehead/net/run_awaitable.hpp"     // for RunAwaitable
 #include "jujubehead/node/control/platform.hpp" // for PlatformError
-#include "platform/row_store.hpp"               // for RowStore
+#include "platform/row_store_client.hpp"        // for RowStoreClient
 #include "standin/stand_in.hpp"                 // for StandIn
 
 using namespace jujubehead;
@@ -51,7 +51,7 @@
 
   std::unique_ptr<net::HttpClient> client;
   core::StorePaths paths;
-  platform::RowStore rows;
+  platform::RowStoreClient rows;
 };
 
 } // namespace
@@ -88,7 +88,7 @@
   void LearnThatItIsCutOff()
   {
     CHECK_THROWS(node::PlatformError, ReadAll(cut_off));
-    CHECK_FALSE(cut_off.paths.IsStraight());
+    CHECK_FALSE(cut_off.paths.IsDirect());
   }
   void LoseTheStore()
   {
@@ -102,7 +102,7 @@
   CHECK(first.has_value());
   LearnThatItIsCutOff();
   const platform::RowPage page = ReadAll(cut_off);
-  CHECK_FALSE(page.is_recalled);
+  CHECK_FALSE(page.is_from_cache);
   STRCMP_EQUAL("one", page.rows.at(0).value->c_str());
   const auto second = Put(cut_off, "two", *first);
   CHECK(second.has_value());
@@ -120,7 +120,7 @@
   LoseTheStore();
   LearnThatItIsCutOff();
   const platform::RowPage page = ReadAll(cut_off);
-  CHECK(page.is_recalled);
+  CHECK(page.is_from_cache);
   STRCMP_EQUAL("one", page.rows.at(0).value->c_str());
   // Only a whole table is recalled: a change may have come meanwhile.
   CHECK_THROWS(
